--- a/packages/scheduling/src/claim-run.ts
+++ b/packages/scheduling/src/claim-run.ts
@@ -1,5 +1,5 @@
 /**
-Finds what an earlier holder of the group started of a task: it is not started again beside that.
+Finds the run of a task that an earlier holder of the group started, so that the task is not started a second time.
 */
 import {type ExecutorSession} from './executor-session.js';
 import {type GroupJob, type GroupTask} from './group-job.js';
@@ -9,7 +9,9 @@
 	| {type: 'ended'; attempt: number}
 	| {type: 'running'; run: Run; executor: string};
 
-/** The task's run, which is its entry's from now on, or its end; undefined: the executors list neither. */
+/**
+Returns the task's run, which from now on counts for the entry's job, or the end of that run. Undefined: the executors report neither.
+*/
 export function claimRun(
 	sessions: Iterable<ExecutorSession>,
 	{id, demand}: GroupJob,
--- a/packages/scheduling/src/claims.test.ts
+++ b/packages/scheduling/src/claims.test.ts
@@ -1,5 +1,6 @@
 /**
-Claims: what an entry lets a group do with a job's tasks, renewed by name and ended by the holder's own clock.
+Tests of claims: an entry's permission for a group to run tasks of a job. The entry renews each claim by its number; the holder ends it by
+its own clock.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -16,8 +17,9 @@
 
 const long = {estimateMs: 5000, timeLeftMs: 20_000};
 
-// Guards against a task that its entry has moved and that runs on at its former holder, as the entry has other jobs there.
-test('a claim that its entry does not name ends, whatever else the entry says', async () => {
+// An entry has moved a task but has other jobs at the task's previous holder. If any message of the entry renewed the claim,
+// the task would run on there.
+test('a claim that its entry does not name ends, whatever other messages the entry sends', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 2,
 		taskMs: 5000,
@@ -27,7 +29,7 @@
 		entry,
 		makePart(clock, {...long, job: 'other', claim: 2}),
 	);
-	const takenAwayAt = clock.now;
+	const lastRenewedAt = clock.now;
 	for (let passed = 0; passed < 1500; passed += 50) {
 		scheduler.receive(entry, {
 			t: 'replace',
@@ -40,14 +42,14 @@
 
 	const [ended, kept] = executors.runs;
 	assert.equal(ended?.outcome, 'ended');
-	assert.ok(ended.endedAt! - takenAwayAt <= orphanLimitMs);
+	assert.ok(ended.endedAt! - lastRenewedAt <= orphanLimitMs);
 	assert.equal(kept?.job, 'other');
 	assert.equal(kept.endedAt, undefined);
 	assert.deepEqual(listOutcomes(entry), ['returned']);
 });
 
-// Guards against work that its sender has long given up: the message was held up in a connection through a cut.
-test('a part that answers an old state is not started, and its tasks are given back', async () => {
+// A part is held up in a connection during a cut, and its sender has long given up the work.
+test('a part that answers an old state is not started, and its tasks are returned', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 50,
@@ -60,21 +62,21 @@
 	assert.deepEqual(listOutcomes(entry), ['returned']);
 });
 
-// Guards against words that were held up and come in a row once the cut is over: each answers a state of before it.
-test('answers to old states renew nothing beyond what those states allow', async () => {
+// Answers to states from before a cut are held up and arrive one after another once the cut is over.
+test('answers to old states renew a claim no further than those states allow', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 5000,
 	});
-	const heldUp: number[] = [];
+	const delayedStates: number[] = [];
 	scheduler.receivePart(entry, makePart(clock, long));
 	for (let passed = 0; passed < 800; passed += 50) {
-		heldUp.push(scheduler.describeState().at);
+		delayedStates.push(scheduler.describeState().at);
 		await runFor(clock, 50, [[scheduler, entry, []]]);
 	}
 
-	const lastStateAt = heldUp.at(-1)!;
-	for (const stateAt of heldUp) {
+	const lastStateAt = delayedStates.at(-1)!;
+	for (const stateAt of delayedStates) {
 		scheduler.receive(entry, {t: 'keep', token: 1, stateAt, claims: [1]});
 	}
 
@@ -84,8 +86,8 @@
 	assert.ok(run.endedAt! - lastStateAt <= orphanLimitMs);
 });
 
-// Guards against a task that comes back to a group in which a run of it has not been stopped yet.
-test('a task that is handed over again waits for the runs of its former claim', async () => {
+// A task returns to a group in which its earlier run has not stopped yet; started at once, it would run twice.
+test('a task that is sent again under a new claim waits until its earlier run has stopped', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 2,
 		taskMs: 500,
@@ -109,8 +111,8 @@
 	assert.deepEqual(entry.replaced, []);
 });
 
-// Guards against a job that is stopped for a part of before: it came late, on a connection that has broken since.
-test('a part of a former claim that comes late leaves the later one', async () => {
+// A part arrives late, over a connection that has broken since. The job must not be stopped because of it.
+test('a late part of an earlier claim does not affect the later claim', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 2,
 		taskMs: 300,
@@ -128,8 +130,9 @@
 	);
 });
 
-// Guards against a former holder that goes on with what the next one has: the entry's words are for the next one.
-test('answers to another holder renew nothing here', async () => {
+// The entry's answers are for the next holder. If the previous holder counted them, it would keep running tasks that the
+// next one has.
+test('answers to the state of another holder renew no claims here', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 5000,
@@ -148,9 +151,9 @@
 	assert.ok(run.endedAt! - answeredAt <= orphanLimitMs);
 });
 
-// Guards against a task that starts again after it has ended done: its end was lost with a connection that fell silent, and is told again
-// only to an entry that comes again sooner than such a connection is noticed and made anew.
-test('an end is remembered until a silent connection is replaced', async () => {
+// The report that a task is done is lost with a connection that fell silent. If the scheduler forgot the end before such a
+// connection is detected and replaced, the task would start again when its entry sends it again.
+test('the end of a task is remembered until a silent connection is replaced', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 100,
@@ -165,8 +168,8 @@
 	assert.equal(executors.runs.length, 1);
 });
 
-// Guards against an entry that lives and waits until its caller's time is over for a task that nobody has any more.
-test('a task that ends done while its claim has ended is told to its entry', async () => {
+// Otherwise an entry that is alive would wait, until its caller's time is over, for a task that no scheduler has.
+test('a task that is done after its claim ended is reported to its entry', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 895,
@@ -182,8 +185,8 @@
 	assert.deepEqual(listOutcomes(entry), ['done']);
 });
 
-// Guards against the same for the other tasks of a job, where one is given back and comes again before their runs are stopped.
-test('a claim that has ended and is used again does not hide what is left of it', async () => {
+// The same for the other tasks of a job when one task was returned and is sent again before their runs have stopped.
+test('a part under an ended claim does not suppress reports of its other tasks', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 2,
 		taskMs: 5000,
@@ -212,10 +215,10 @@
 	});
 	await runFor(clock, 2000, [[scheduler, entry]]);
 	const indices = entry.told.flatMap(({ends}) => ends.map(({index}) => index));
-	assert.ok(indices.includes(1), `told of ${indices.join(', ')}`);
+	assert.ok(indices.includes(1), `ends of tasks ${indices.join(', ')}`);
 });
 
-// Guards against a later copy of a job that is stopped for a part which is not started either: its entry has just thawed.
+// An entry that was paused sends an outdated part. That part is not started, so it must not stop the later copy either.
 test('a part that answers an old state does not replace a later copy', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
--- a/packages/scheduling/src/copy-check.ts
+++ b/packages/scheduling/src/copy-check.ts
@@ -1,27 +1,27 @@
 /**
-What an entry knows of other copies of a job before it places the job's tasks.
+What an entry knows about other copies of a job, at other entries or from an earlier submission here, before it places the job's tasks.
 */
 import {type TokenRange} from '@gentianshift/protocol';
 
-/** A group where tasks of another copy may run. */
+/** A group in which tasks of another copy may run. */
 export type CopyPlace = {
 	group: string;
-	/** Of the holders that were told of them. */
+	/** Fencing tokens of the first and the last holder that those tasks were sent to. */
 	tokens: TokenRange;
-	/** Nothing of them runs from then on, whatever becomes of the holder; this host's clock. */
+	/** From this time on none of those tasks runs, whatever happens to the holder; this host's steady clock. */
 	overAt: number;
-	/** An entry says that it handed tasks there; else one that is lost may have. */
+	/** An entry confirmed that it sent tasks there; false: an entry that is lost may have sent some. */
 	isSure: boolean;
 };
 
 export type CopyCheck = {
-	/** When the groups were asked, until the job's tasks are first placed. */
+	/** When the groups were asked; cleared once the job's tasks are first placed. */
 	askedAt?: number;
 	/** Groups that have yet to confirm that no other copy runs there. */
 	groupsToConfirm: Set<string>;
-	/** By group; only a holder that these tokens do not outdate can tell. */
+	/** By group. Only a holder whose token is at least the last token of the place can confirm that the copy has stopped. */
 	places: Map<string, CopyPlace>;
-	/** Hosts whose entries have yet to answer, and until when they may; undefined: none was asked. */
+	/** Hosts whose entries have yet to answer, and when their time to answer ends; undefined: no entry was asked. */
 	hostsToAnswer?: Map<string, number>;
 	hostsAnswered: Set<string>;
 };
@@ -35,7 +35,7 @@
 	};
 }
 
-/** Both are to be over, as a holder of either may run something. */
+/** Combines two places in the same group: the result has ended only when both have, since a holder of either may run tasks. */
 export function joinPlaces(
 	place: CopyPlace | undefined,
 	other: CopyPlace | undefined,
--- a/packages/scheduling/src/copy-recall.test.ts
+++ b/packages/scheduling/src/copy-recall.test.ts
@@ -1,5 +1,5 @@
 /**
-An entry that asks others for their copies of a job, and one that is asked.
+Tests of an entry that asks other entries to give up their copies of a job, and of one that is asked.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -17,7 +17,7 @@
 	message: HolderMessage | RecallCopy | CopyRecalled;
 };
 
-/** An entry in mieres; `mieres_m1` and `langreo_l1` hold the groups, and tell their state. */
+/** An entry in mieres; `mieres_m1` and `langreo_l1` hold the groups and send their state. */
 function openEntry({linked}: {linked: string[]}) {
 	const clock = {now: 1000};
 	const sent: Sent[] = [];
@@ -44,13 +44,13 @@
 			return linked.includes(to);
 		},
 		log() {
-			// Not read.
+			// These tests check no log lines.
 		},
 		onAnswer() {
-			// Told to the caller.
+			// The tests read the answers that callers receive.
 		},
 	});
-	const tellStates = () => {
+	const receiveStates = () => {
 		groups.update('mieres_m1', makeState('mieres'), clock.now);
 		groups.update('langreo_l1', makeState('langreo'), clock.now);
 	};
@@ -67,9 +67,9 @@
 				? {to, message: message as Extract<Sent['message'], {t: T}>}
 				: [],
 		);
-	// Hosts that are not connected by now are not about to be.
+	// After this time the entry no longer expects hosts without a connection to connect in a moment.
 	clock.now += 200;
-	tellStates();
+	receiveStates();
 	return {clock, entry, answers, submit, list, groups};
 }
 
@@ -116,8 +116,8 @@
 	};
 }
 
-// Guards against first requests that cost a message to each host although every group can tell.
-test('entries are not asked while all hosts are in reach', () => {
+// Every group can say whether a copy runs, so first requests should not cost a message to each host.
+test('entries are not asked while all hosts are reachable', () => {
 	const {submit, list} = openEntry({
 		linked: ['mieres_m1', 'mieres_m2', 'langreo_l1'],
 	});
@@ -126,8 +126,9 @@
 	assert.equal(list('recall-copy').length, 0);
 });
 
-// Guards against a second copy that runs beside the first one: its holder confirms, and does not know that it was replaced.
-test('a job waits for a holder that is not outdated by what its first entry says', () => {
+// A previous holder confirms that it runs no copy and does not know that it was replaced as holder. Its confirmation must
+// not count, or a second copy would run beside the first one.
+test('a job waits for a holder at least as new as the one that its first entry names', () => {
 	const {entry, submit, list, groups, clock} = openEntry({
 		linked: ['mieres_m1', 'langreo_l1'],
 	});
@@ -157,8 +158,8 @@
 	assert.equal(list('part').length, 1);
 });
 
-// Guards against a caller that is held up for the end of another copy until its answer is of no use, or is told that nothing ran.
-test('a caller that cannot wait for the end of a known copy is told so at once', () => {
+// Otherwise the caller would wait for the end of another copy until the answer is of no use, or would be told that nothing has run.
+test('a job that can not wait for the end of a known copy is given up at once', () => {
 	const {entry, answers, submit, list} = openEntry({
 		linked: ['langreo_l1'],
 	});
@@ -178,8 +179,9 @@
 	);
 });
 
-// Guards against two copies that run at a time where the host that died was the first one's entry and held its group.
-test('a first request right after a holder died is refused at once, with when to come again', () => {
+// The host that died was both the entry of the first copy and the holder of its group, so its tasks may still run. Placed
+// now, the second copy would run beside them.
+test('a first request right after a holder died is refused at once, with a time to retry', () => {
 	const {clock, entry, answers, submit, list} = openEntry({
 		linked: ['langreo_l1', 'mieres_m2'],
 	});
@@ -194,7 +196,7 @@
 	assert.ok(answer.retryAfterMs >= 950, `${answer.retryAfterMs} ms`);
 });
 
-test('an entry that is asked gives its copy up and names where its tasks are', () => {
+test('an entry that is asked gives up its copy and names the groups where its tasks may run', () => {
 	const {entry, answers, submit, list} = openEntry({
 		linked: ['mieres_m1', 'mieres_m2', 'langreo_l1'],
 	});
@@ -221,8 +223,8 @@
 	);
 });
 
-// Guards against two entries that give way to each other, or both go on.
-test('an entry with a later copy keeps it and says so', () => {
+// Otherwise both entries could give up their copies, or both could continue.
+test('an entry that has a later copy keeps it and refuses', () => {
 	const {entry, answers, submit, list} = openEntry({
 		linked: ['mieres_m1', 'mieres_m2', 'langreo_l1'],
 	});
--- a/packages/scheduling/src/copy-recall.ts
+++ b/packages/scheduling/src/copy-recall.ts
@@ -1,6 +1,7 @@
 /**
-Asks other entries for their copies of a job, where the holders of groups can't say for sure whether one runs: a holder is out of
-reach, or may have been replaced by a host that is. The entry that has a copy is the only one that knows who was handed its tasks.
+Asks other entries to give up their copies of a job, when the holders of the groups can't say for sure whether a copy runs: a holder
+is unreachable, or may have been replaced by a host that is unreachable. Only the entry that has a copy knows which holders it sent
+the tasks to.
 */
 import {
 	type RecallCopy,
@@ -14,12 +15,12 @@
 import {parseProcessId} from './process-id.js';
 import {entryWordLimitMs} from './timing.js';
 
-/** Hosts that none of those in reach has a connection to are taken as gone for so long before they are asked for again. */
+/** A host that no reachable host could pass a recall on to counts as gone for this long: during that time it causes no further recalls. */
 const goneMs = 1000;
 
-/** Other hosts, as their connections are. */
+/** The other hosts and the connections to them. */
 export type EntryPeers = {
-	/** Also those to which there is no connection. */
+	/** Includes hosts to which there is no connection. */
 	listHosts: () => readonly string[];
 	isLinked: (host: string) => boolean;
 	/** False: there is no connection to the host. */
@@ -32,31 +33,35 @@
 	now: () => number;
 	peers: EntryPeers;
 	lostHolders: LostHolders;
-	/** Gives a job of this entry up for a later copy, if it is here. */
+	/** Gives up this entry's copy of the job in favour of a later one; does nothing if there is none. */
 	giveUp: (job: string) => void;
 	findTakenAt: (job: string) => number | undefined;
-	/** The groups that are known here, and the tokens of their holders. */
+	/** The groups known to this host, and their holders' fencing tokens. */
 	listTokens: () => Array<[group: string, token: number]>;
-	/** Where tasks of a job that this entry has given up may run. */
+	/** Where tasks of a copy that this entry has given up may still run. */
 	listPlaces: (job: string) => CopyPlace[];
-	/** Executors that crashed under tasks of a job. */
+	/** Executors that crashed while running tasks of the job; undefined: none is known. */
 	listCrashes: (job: string) => TaskCrashes[] | undefined;
 	log: (message: string, fields: Record<string, unknown>) => void;
 };
 
 export type CopyRecall = {
-	/** Some host that is out of reach here may be in reach of others. */
+	/** Whether some host that is unreachable from here may be reachable from other hosts. */
 	hasUnknownHosts: () => boolean;
+	/** Asks the other entries for their copies; does nothing if that was done for this job, or if no check runs. */
 	ask: (job: EntryJob) => void;
-	/** A connection to the host is made: it gets what waited for that. */
+	/** A connection to the host was established: sends the recalls that wait for it. */
 	passUnsent: (host: string) => void;
-	/** Likewise what is asked for a job of this entry. */
+	/** A connection to the host was established: asks its entry about this job, unless it has answered. */
 	askAgain: (job: EntryJob, host: string) => void;
-	/** All that can be asked have answered, or have had the time to. */
+	/** Whether every entry that could be asked has answered, or its time to answer is over. */
 	isAnswered: (job: EntryJob) => boolean;
-	/** Another entry asks; `from` is the host that the question came from. */
+	/** Another entry asks for this entry's copy; `from` is the host that sent or forwarded the message. */
 	receiveRecall: (from: string, message: RecallCopy) => void;
-	/** Gives where tasks of a copy may run, from an answer to this entry; undefined: it is for another one, or not for the job as it is now. */
+	/**
+	Handles an answer and returns where tasks of a copy may run. Undefined: the answer is for another entry, to which it is passed
+	on, or for an earlier submission of the job.
+	*/
 	receiveRecalled: (
 		message: CopyRecalled,
 		job: EntryJob | undefined,
@@ -66,7 +71,7 @@
 export function createCopyRecall(ports: CopyRecallPorts): CopyRecall {
 	const {self, now, peers, lostHolders, log} = ports;
 	const goneUntil = new Map<string, number>();
-	/** To be passed on when a connection to the host is made. */
+	/** Recalls to send when a connection to their host is established. */
 	let unsent: Array<{host: string; message: RecallCopy; until: number}> = [];
 
 	function listUnlinked(): string[] {
@@ -92,7 +97,7 @@
 		}
 	}
 
-	/** False: the host is out of reach here as well. */
+	/** False: the host is unreachable from here as well. */
 	function passOn(host: string, message: RecallCopy): boolean {
 		if (host === parseProcessId(self).host) {
 			return false;
--- a/packages/scheduling/src/copy-replacement.ts
+++ b/packages/scheduling/src/copy-replacement.ts
@@ -1,10 +1,10 @@
 /**
-Makes sure, before an entry places a job's tasks, that no copy of the job runs that the caller may have sent to another entry.
+Makes sure, before an entry places a job's tasks, that no other copy of the job runs: the caller may have sent it to another entry.
 
-Only a request that is the first one on its connection can follow a copy so closely that both would run: a caller sends a
-job again at once when a connection breaks under its request, and over a new one. Every group is asked. Where a holder is out
-of reach, or a host that may have replaced it, the other entries are asked as well, and a group is waited for only if a copy was
-there: a data centre that is cut off must not hold up what is served elsewhere.
+Only the first request on a connection can follow another copy so closely that both would run: when a connection breaks under a
+request, the caller repeats the request at once over a new connection. The entry asks every group to stop other copies and to
+confirm that. If a holder is unreachable, or a host that may have replaced it, the entry also asks the other entries, and waits for
+that group only if a copy was there. Otherwise a data centre that is cut off would hold up jobs that are served elsewhere.
 */
 import {type Replace, type Replaced} from '@gentianshift/protocol';
 import {createCopyCheck, joinPlaces, type CopyPlace} from './copy-check.js';
@@ -14,7 +14,7 @@
 import {type LostHolders} from './lost-holders.js';
 import {clockSlackMs, orphanLimitMs, stateStaleMs} from './timing.js';
 
-/** Silent for longer than this, a group runs nothing more of what the entries in reach had handed to it. */
+/** A group that has been silent for longer than this no longer runs any task that a reachable entry sent to it. */
 const longSilenceMs = stateStaleMs + orphanLimitMs + clockSlackMs;
 
 export type CopyReplacementPorts = {
@@ -25,35 +25,36 @@
 	log: (message: string, fields: Record<string, unknown>) => void;
 };
 
-/** What a job still waits for. */
+/** Why a job can't be placed yet. */
 export type CopyObstacle = {
 	reason: string;
-	/** No sooner than then; undefined: an answer may come at any time. */
+	/** Earliest time at which the obstacle can be gone; undefined: an answer may remove it at any time. */
 	clearAt?: number;
 };
 
 export type CopyReplacement = {
 	/**
-	Asks the groups where another copy may run; once for each job. `ownPlaces`: where this entry itself had the job before.
+	Asks the groups in which another copy may run to confirm that none does; once for each job. `ownPlaces`: where tasks of the job
+	may still run from an earlier submission to this entry.
 	*/
 	ask: (job: EntryJob, ownPlaces: readonly CopyPlace[], now: number) => void;
-	/** The group has another holder, or the connection to it is back. */
+	/** The group has a new holder, or the connection to its holder is back: asks the holder again. */
 	askAgain: (job: EntryJob, group: string, now: number) => void;
-	/** A holder's answer: it runs no other copy. */
+	/** A holder's answer: it runs no other copy of the job. */
 	confirm: (
 		job: EntryJob,
 		holder: string,
 		{message, now}: {message: Replaced; now: number},
 	) => void;
-	/** Another entry has given its copy up, and tasks of it may run there. */
+	/** Another entry has given up its copy, of which tasks may still run in these places: waits for their groups as well. */
 	addPlaces: (job: EntryJob, places: readonly CopyPlace[], now: number) => void;
-	/** Where tasks of another copy may run, as far as this job's check has come. */
+	/** Where in the group tasks of another copy may run; undefined: nowhere, or the group need not confirm any more. */
 	findPlace: (
 		job: EntryJob,
 		group: string,
 		now: number,
 	) => CopyPlace | undefined;
-	/** Undefined: no other copy runs, as far as it can be known. */
+	/** Why the job can't be placed yet; undefined: no other copy runs, as far as that can be known. */
 	findObstacle: (job: EntryJob, now: number) => CopyObstacle | undefined;
 };
 
@@ -94,7 +95,7 @@
 		return known !== undefined && !isSilent(known, now);
 	}
 
-	/** A copy that an entry in reach has handed over may run where no holder can tell. */
+	/** Whether a copy that a reachable entry sent out may run at a holder that can't be asked. */
 	function isDoubtful(now: number): boolean {
 		return (
 			recall.hasUnknownHosts() ||
@@ -107,7 +108,7 @@
 		);
 	}
 
-	/** Why the group's holder is not waited for any longer; undefined: it is. */
+	/** Why the group's holder is no longer waited for; undefined: it still is. */
 	function findDefect(
 		{copyCheck}: EntryJob,
 		group: string,
@@ -122,7 +123,7 @@
 			: undefined;
 	}
 
-	/** Why the group still holds the job up; undefined: it need not confirm any more. */
+	/** Why the group still delays the job; undefined: it need not confirm any more. */
 	function findGroupObstacle(
 		job: EntryJob,
 		group: string,
--- a/packages/scheduling/src/entry-contacts.ts
+++ b/packages/scheduling/src/entry-contacts.ts
@@ -1,18 +1,24 @@
 /**
-When a scheduler last heard from each entry, and which of them have answered it.
+Records when a scheduler last received a message from each entry, and which hosts' entries have answered its state.
 */
 import {type Entry} from './group-job.js';
 import {parseProcessId} from './process-id.js';
 import {entrySilenceMs} from './timing.js';
 
 export type EntryContacts = {
-	/** A message of the entry has come. */
+	/** Records that a message from the entry has arrived. */
 	note: (entry: Entry, now: number) => void;
-	/** An entry has answered a state of this holder, and so told it all that it wants of it. */
+	/**
+	Records that the entry has answered a state message of this holder. An entry sends its `replace` and `part` messages before
+	that answer, so the holder now knows all that the entry wants of it.
+	*/
 	markAnswered: (entry: Entry) => void;
-	/** An entry of this host has answered. */
+	/** Whether an entry process on this host has answered. */
 	hasAnswered: (host: string) => boolean;
-	/** Entries that have been silent for too long; each is given once. */
+	/**
+	Returns the keys of entries that have sent nothing for longer than `entrySilenceMs`. It stops tracking them, so each is
+	returned once.
+	*/
 	takeSilent: (now: number) => string[];
 };
 
--- a/packages/scheduling/src/entry-job.ts
+++ b/packages/scheduling/src/entry-job.ts
@@ -1,30 +1,32 @@
 /**
-A caller's job at the host that took it, the entry.
+A caller's job at its entry, the host that accepted the job from the caller.
+
+Times named `…At` and `…Until` are milliseconds of the entry's steady clock.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
 import {type CopyCheck} from './copy-check.js';
 import {type Queue} from './queue-table.js';
 
 export type JobRequest = {
-	/** Chosen by the caller; the same job may come again at any host. */
+	/** Chosen by the caller, who may submit the same job again at any host. */
 	id: string;
 	queue: Queue;
-	/** Handed to the executors as it is. */
+	/** Passed to the executors unchanged. */
 	spec: string;
-	/** Tasks. */
+	/** Number of tasks. */
 	count: number;
 	demand: TaskDemand;
-	/** Run time of a task by the caller's word. */
+	/** Run time of one task, as the caller declared it. */
 	declaredMs: number;
-	/** How long the caller waits from now. */
+	/** How much longer the caller waits, from now. */
 	timeLeftMs: number;
-	/** Requests that came before this one on the caller's connection: 0 for the first one. */
+	/** Number of earlier requests on the caller's connection; 0 for the first request. */
 	requestsBefore: number;
 };
 
 /**
-- `refused`: no task has run, nor will.
-- `given-up`: some may have run; nothing more will.
+- `refused`: no task has run, and none will.
+- `given-up`: some tasks may have run; no more will.
 */
 export type JobAnswer =
 	| {type: 'completed'}
@@ -35,14 +37,14 @@
 
 export type EntryTask = {
 	index: number;
-	/** The group it was handed to; undefined: nowhere now. */
+	/** The group that the task was sent to; undefined: it is not placed at present. */
 	group?: string;
-	/** The token of the holder that it was first handed to in this group. */
+	/** Fencing token of the holder that the task was first sent to in this group. */
 	token?: number;
 	isDone: boolean;
-	/** Rises each time that the task is placed. */
+	/** Incremented each time the entry places the task, so that reports about an earlier placement can be told apart. */
 	placement: number;
-	/** Times that a group gave it back for room in another. */
+	/** How often a group has returned the task for placement in another group. */
 	shifts: number;
 	nextAttempt: number;
 };
@@ -50,45 +52,52 @@
 export type EntryJob = {
 	request: JobRequest;
 	tasks: EntryTask[];
+	/** Estimated run time of one task. */
 	estimateMs: number;
 	arrivedAt: number;
-	/** When the latency objective passes. */
+	/** When the latency objective expires. */
 	dueAt: number;
-	/** A job that would end later than this is not let in. */
+	/** A job expected to end later than this is not admitted. */
 	admitUntil: number;
-	/** Ending later is of no use to the caller. */
+	/** After this time an answer is of no use to the caller. */
 	uselessAt: number;
-	/** When the caller no longer waits. */
+	/** When the caller stops waiting. */
 	endsAt: number;
-	/** A scheduler let it in and gave it back for room elsewhere: it is not judged anew as late. */
+	/**
+	A scheduler admitted the job and returned it only because another group has room, or the job had to wait because no
+	scheduler was reachable. The job is then no longer refused for being late.
+	*/
 	isLetIn: boolean;
-	/** By group: the claim under which it was handed there, until this entry takes its tasks away. */
+	/**
+	By group: the number of the claim under which this entry sent tasks there, until it takes them away. A claim is the entry's
+	permission for the group to run these tasks. The entry renews it by number in each `keep` message and never reuses a number.
+	*/
 	claims: Map<string, number>;
-	/** A scheduler has started a task of it, or may have. */
+	/** A scheduler has started a task of the job, or may have. */
 	isStarted: boolean;
 	/**
-	A scheduler that had tasks of it was lost, or the connection to it: what it told of starts may be lost as well, so that
-	"nothing has run" would not be true any more.
+	Tasks were sent again because their group changed hands, the connection to its holder broke, or the holder no longer had them.
+	A report of a start may have been lost with that, so the entry must not tell the caller that nothing has run.
 	*/
 	isHandedOver: boolean;
-	/** When this entry took it, milliseconds since 1970. */
+	/** When this entry accepted the job, milliseconds since 1970. */
 	takenAtMs: number;
-	/** Undefined: the job can't have another copy that runs. */
+	/** Progress of the check for other copies of the job; undefined: the job can't have another copy that runs. */
 	copyCheck?: CopyCheck;
-	/** When a scheduler first told of a start; undefined: none did. */
+	/** When the first report of a started task arrived; undefined: none has. */
 	startToldAt?: number;
 	waiters: Set<(answer: JobAnswer) => void>;
 };
 
 /**
-Estimates are off by a quarter: a job that seems late by less than that may be in time, and one that is turned away while
-executors are free is lost for nothing.
+Estimates are off by about a quarter, so a job that seems late by less than that may still be in time. Refusing it while
+executors are free would lose it for nothing.
 */
 const admitFactor = 1.2;
-/** After three times its objective an answer is of no use to its caller. */
+/** An answer that takes longer than three times the objective is of no use to the caller. */
 const uselessFactor = 3;
 
-/** When the job has to end by to be placed: one that was let in is served, late if need be. */
+/** The time by which the job must be able to end to be placed. A job that was admitted or started is served even if it will be late. */
 export function getLimit({
 	isLetIn,
 	isStarted,
@@ -129,7 +138,7 @@
 	};
 }
 
-/** The tasks that a group has and that have not ended. */
+/** The job's tasks that are placed in the group and not done. */
 export function listTasksAt(job: EntryJob, group: string): EntryTask[] {
 	return job.tasks.filter((task) => !task.isDone && task.group === group);
 }
--- a/packages/scheduling/src/entry-jobs.test.ts
+++ b/packages/scheduling/src/entry-jobs.test.ts
@@ -1,5 +1,5 @@
 /**
-Jobs at their entry while schedulers change, fall silent and give tasks back.
+Tests of jobs at their entry while schedulers change, fall silent and return tasks.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -37,7 +37,7 @@
 			return true;
 		},
 		log() {
-			// Not read.
+			// These tests check no log lines.
 		},
 		onAnswer(job) {
 			answered.push(job);
@@ -51,10 +51,10 @@
 	return {clock, sent, answered, groups, entry, listParts};
 }
 
-/** Time of day when the tests begin. */
+/** Wall clock when a test begins, milliseconds since 1970. */
 const startsAtMs = 1_700_000_000_000;
 
-/** A holder's word that it runs no other copy of the job that was taken so long after the begin. */
+/** A holder's confirmation that it runs no other copy of the job that the entry accepted `takenAfterMs` after the test began. */
 function makeConfirmation(takenAfterMs = 0): Replaced {
 	return {
 		t: 'replaced',
@@ -110,7 +110,7 @@
 	assert.equal(entry.size, 0);
 });
 
-test('an answered job tells when the first word of a start came', () => {
+test('an answered job records when the first report of a start arrived', () => {
 	const {entry, groups, clock, answered} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	entry.submit(makeRequest({count: 1}), () => undefined);
@@ -132,9 +132,9 @@
 	assert.equal(job!.startToldAt! - job!.arrivedAt, 5);
 });
 
-// All hosts have lost power, and callers are back sooner than the schedulers: a job that is refused
-// in these tenths of a second would have been served by a scheduler that takes its group just then.
-test('a job that comes before any scheduler is known is placed when one is', () => {
+// After all hosts lost power, callers are back before the schedulers. A job refused in these tenths of a second
+// would have been served by a scheduler that takes its group just then.
+test('a job that arrives before any scheduler is known is placed once one is known', () => {
 	const {entry, groups, clock, listParts} = createEntryJobs();
 	const answers: JobAnswer[] = [];
 	entry.submit(makeRequest(), (answer) => {
@@ -148,8 +148,8 @@
 	assert.equal(listParts('mieres_m1')[0]?.tasks.length, 2);
 });
 
-// The same, but no scheduler comes. The caller is told as soon as the answer would come too late
-// to be of use, and may come again as soon as a group changes hands.
+// The same, but no scheduler appears. The caller is refused as soon as an answer would be too late to be of use,
+// and may retry as soon as a group can have changed hands.
 test('a job that waits for a scheduler is refused once it can no longer end in time', () => {
 	const {entry, clock} = createEntryJobs();
 	const answers: JobAnswer[] = [];
@@ -166,9 +166,9 @@
 	]);
 });
 
-// A host has had nothing to do for a while and is paused, or all schedulers are lost at once. That it
-// placed nothing lately says nothing about schedulers: its next callers wait as well.
-test('a host that was idle waits for a scheduler like a busy one', () => {
+// A host that was idle is paused, or all schedulers are lost at once. That the host placed nothing recently does not
+// mean that there are no schedulers, so its next callers must wait as well.
+test('an idle host waits for a scheduler as long as a busy one', () => {
 	const {entry, groups, clock} = createEntryJobs();
 	for (let i = 0; i < 100; i += 1) {
 		clock.now += 50;
@@ -184,9 +184,9 @@
 	assert.deepEqual(answers, []);
 });
 
-// A host that is cut off from all others and from the store can take no group. Its callers are
-// told at once, and not each after a wait of its own.
-test('a job is refused at once when no scheduler has been in reach for long', () => {
+// A host that is cut off from all others and from the store can't take a group. Its callers are refused at once
+// instead of each waiting first.
+test('a job is refused at once when no scheduler has been reachable for a long time', () => {
 	const {entry, clock} = createEntryJobs();
 	clock.now += 2100;
 	entry.update();
@@ -197,9 +197,9 @@
 	assert.equal(answers[0]?.type, 'refused');
 });
 
-// A scheduler gives a task back twice, as the part came to it again. By then the task runs elsewhere:
-// taken at its word once more, it would be placed a third time beside that run.
-test('a task that was given back once is not placed again for the same word', () => {
+// A scheduler that received a part twice returns its task twice. By then the task runs elsewhere; if the second
+// message counted, the task would be placed a third time and run twice.
+test('a task that was returned once is not placed again for a repeated message', () => {
 	const {entry, groups, clock, listParts} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	groups.update('langreo_l1', makeState('langreo'), clock.now);
@@ -221,7 +221,7 @@
 	assert.equal(listParts('langreo_l1').length, 1);
 });
 
-test('another holder of a group is told what runs there', () => {
+test('the next holder of a group is sent the tasks that are placed there', () => {
 	const {entry, groups, clock, listParts} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	entry.submit(makeRequest(), () => undefined);
@@ -232,8 +232,8 @@
 	assert.equal(part?.tasks.length, 2);
 });
 
-// A scheduler's machine is cut off with a job's tasks. Until it has stopped them they may not run
-// elsewhere, and then it is too late: a caller that is told so at once can do something else.
+// A scheduler's machine is cut off with a job's tasks. The tasks may not start elsewhere until it has stopped them, and
+// then it is too late. A caller that is told so at once can do something else.
 test('a job whose scheduler is silent is given up when it can no longer end in time', () => {
 	const {entry, groups, clock} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
@@ -246,9 +246,9 @@
 	assert.equal(answers[0]?.type, 'given-up');
 });
 
-// The same, with a caller that waits long enough: its tasks start elsewhere, with numbers that the
-// silent scheduler cannot have used, once the silent one has stopped them.
-test('a patient job is placed elsewhere once its silent scheduler has stopped its tasks', () => {
+// The same, with a caller that waits long enough. Once the silent scheduler has stopped the tasks, they start elsewhere,
+// with attempt numbers that the silent scheduler can't have used.
+test('a job whose caller waits long is placed elsewhere once its silent scheduler has stopped its tasks', () => {
 	const {entry, groups, clock, listParts} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	entry.submit(
@@ -272,9 +272,9 @@
 	assert.ok(part?.tasks.every(([, attempt]) => attempt > 10));
 });
 
-// A data centre turns a job away as full, and what the entry knew of the next one was right: there is
-// room. Refused at the first no, its caller would be sent away while executors stand idle.
-test('a job that one group turns away as full is tried at another before it is refused', () => {
+// One data centre returns a job as full while the next one has room. If the job were refused at the first return, executors
+// would stay idle although a caller was refused.
+test('a job that one group returns as full is tried in another group before it is refused', () => {
 	const {entry, groups, clock, listParts} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	groups.update('langreo_l1', makeState('langreo'), clock.now);
@@ -282,7 +282,7 @@
 	entry.submit(makeRequest({count: 1}), (answer) => {
 		answers.push(answer);
 	});
-	const turnAway = (holder: string, placement: number) => {
+	const returnAsFull = (holder: string, placement: number) => {
 		entry.receiveEnds(holder, {
 			t: 'ends',
 			token: 1,
@@ -294,16 +294,16 @@
 		});
 	};
 
-	turnAway('mieres_m1', 1);
+	returnAsFull('mieres_m1', 1);
 	assert.equal(listParts('langreo_l1').length, 1);
 	assert.equal(answers.length, 0);
-	turnAway('langreo_l1', 2);
+	returnAsFull('langreo_l1', 2);
 	assert.equal(answers[0]?.type, 'refused');
 });
 
-// A job has waited for a while at a group that then sent it on to room elsewhere, and the room was
-// gone. Judged anew as if it had just come, it would be refused after having been held.
-test('a job that was let in is not judged anew when it is sent on', () => {
+// A group held a job for a while and returned it because another group had room, but that room is gone. If admission were
+// checked again, the job would be refused after having waited.
+test('a job that was admitted is not checked for admission again when it is moved', () => {
 	const {entry, groups, clock, listParts} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	groups.update('langreo_l1', makeState('langreo'), clock.now);
@@ -326,9 +326,10 @@
 	assert.ok(part!.admitInMs > 400, `${part!.admitInMs} ms`);
 });
 
-// The connection to a holder breaks while a job is given up, and the word to drop it is lost with it. The connection is back before the holder
-// counts the entry as silent; not told again, it would run the job on beside the copy that the caller brings elsewhere.
-test('a job that was given up is dropped again on the next connection', () => {
+// The connection to a holder breaks while a job is given up, and the `drop` is lost. The connection is back before the
+// holder counts the entry as silent. Unless the `drop` is sent again, the holder keeps running the job while the caller's
+// next copy runs elsewhere.
+test('the drop of a job is sent again on the next connection to its holder', () => {
 	const {entry, groups, clock, sent} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	entry.submit(makeRequest(), () => undefined);
@@ -346,12 +347,12 @@
 	assert.deepEqual(
 		new Set(listDrops()),
 		new Set([startsAtMs]),
-		'what is wanted again is not dropped',
+		'the second submission of the job is not dropped',
 	);
 });
 
-// Guards against a job that is dropped although its caller came again: the word to drop it names a taking that is as late.
-test('a job that is taken again at the same moment is a later taking', () => {
+// Otherwise the `drop` of the first submission would name the same `takenAtMs` and drop the second one as well.
+test('a job that is submitted again at the same moment gets a later takenAtMs', () => {
 	const {entry, groups, clock, sent} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	entry.submit(makeRequest(), () => undefined);
@@ -361,9 +362,10 @@
 	assert.equal((asked?.message as Replace).takenAtMs, startsAtMs + 1);
 });
 
-// A holder starts a job's tasks, and its word of that is lost with the connection. The group changes hands, and the next holder, which knows of no run,
-// gives the tasks back. Told that nothing has run, the caller orders once more what has been delivered.
-test('a job that was handed over is not refused as one that never ran', () => {
+// A holder starts a job's tasks, and its report is lost with the connection. The group changes hands, and the next holder,
+// which knows of no run, returns the tasks. If the caller were told that nothing had run, it would submit work again that
+// has already been done.
+test('a job whose tasks were sent again is not answered as refused', () => {
 	const {entry, groups, clock} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	const answers: JobAnswer[] = [];
@@ -387,9 +389,9 @@
 	);
 });
 
-// Guards against two entries that hand the copies of one job to two groups: the caller's connection broke, and it sent the job again at
-// once over a new one.
-test('the first job of a connection is placed when all groups in reach run no other copy', () => {
+// A caller's connection breaks, and the caller repeats the job at once over a new one. Without this check two entries
+// would send copies of the job to two groups.
+test('the first job of a connection is placed once all reachable groups confirm that they run no other copy', () => {
 	const {entry, groups, clock, sent, listParts} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	groups.update('langreo_l1', makeState('langreo'), clock.now);
@@ -406,8 +408,8 @@
 	assert.equal(listParts('mieres_m1').length, 1);
 });
 
-// Guards against a copy that runs where the entry did not ask: it heard of the group, or of its new holder, only while it waited.
-test('a group that comes into reach meanwhile, and a new holder, are waited for as well', () => {
+// While the entry waits, it learns of another group, or of a new holder, that it has not asked yet. A copy may run there.
+test('a group that becomes reachable during the wait, and a new holder, are waited for as well', () => {
 	const {entry, groups, clock, listParts} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	entry.submit(makeRequest({requestsBefore: 0}), () => undefined);
@@ -422,9 +424,9 @@
 	assert.equal(listParts('mieres_m2').length, 1);
 });
 
-// Guards against a job that is refused for want of room although executors are free: it has spent the time until which it would be let
-// in on waiting for a group's answer.
-test('a job that has waited for an answer is let in as if it had not', () => {
+// Otherwise a job that spent its admission time waiting for a group's answer would be refused for lack of room
+// although executors are free.
+test('the wait for confirmations does not count against the admission of a job', () => {
 	const {entry, groups, clock, listParts} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	entry.submit(makeRequest({requestsBefore: 0}), () => undefined);
@@ -434,8 +436,8 @@
 	assert.equal(listParts('mieres_m1').length, 1);
 });
 
-// Guards against a flood that is let in because each of its jobs is the first one of a connection: all of them would be late.
-test('a job that has waited for an answer is refused where all groups are full, like others', () => {
+// Otherwise a flood of jobs that are each the first on their connection would be admitted, and all would be late.
+test('a job that has waited for confirmations is refused like others if all groups are full', () => {
 	const {entry, groups, clock} = createEntryJobs();
 	const full = makeState('mieres', {
 		free: [0, 0],
@@ -450,8 +452,8 @@
 	assert.equal(answers[0]?.type, 'refused');
 });
 
-// Guards against an answer to an earlier taking of the job at this entry, which says nothing of copies since.
-test('an answer that is for an earlier taking of the job does not count', () => {
+// The answer to an earlier submission of the job at this entry says nothing about copies since then.
+test('a confirmation for an earlier submission of the job does not count', () => {
 	const {entry, groups, clock, listParts} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	const leave = entry.submit(makeRequest({requestsBefore: 0}), () => undefined);
@@ -462,8 +464,9 @@
 	assert.equal(listParts('mieres_m1').length, 0);
 });
 
-// Guards against a scheduler that takes the entry for dead, and lets an earlier copy start: the job's tasks are all at other groups.
-test('groups are told that the entry waits while its copy is the one that counts', () => {
+// All of the job's tasks are in other groups. A scheduler that hears nothing from the entry would count it as dead and
+// let an earlier copy start.
+test('an entry that replaced other copies answers the states of all groups', () => {
 	const {entry, groups, clock, sent} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	groups.update('langreo_l1', makeState('langreo'), clock.now);
@@ -475,8 +478,8 @@
 	assert.ok(kept.some(({holder}) => holder === 'langreo_l1'));
 });
 
-// Guards against a data centre that is cut off holding up the jobs of all others.
-test('a group that falls silent is not waited for', () => {
+// Otherwise a data centre that is cut off would hold up the jobs of all others.
+test('a group that falls silent is no longer waited for', () => {
 	const {entry, groups, clock, listParts} = createEntryJobs();
 	groups.update('langreo_l1', makeState('langreo'), clock.now);
 	clock.now += stateStaleMs - 100;
@@ -492,23 +495,23 @@
 	assert.equal(listParts('mieres_m1').length, 1);
 });
 
-// Guards against a new holder that starts an earlier copy because only the former one knew that it was replaced.
-test('a new holder of a group is told which copies are replaced', () => {
+// Otherwise the new holder would start an earlier copy, as only the previous holder knew that it was replaced.
+test('a new holder of a group is sent the replacements of copies', () => {
 	const {entry, groups, clock, sent} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	entry.submit(makeRequest({requestsBefore: 0}), () => undefined);
 	entry.receive('mieres_m1', makeConfirmation());
 	groups.update('mieres_m2', makeState('mieres', {token: 9}), clock.now);
 	entry.handOver('mieres');
-	const told = sent.filter(({holder}) => holder === 'mieres_m2');
+	const sentToNewHolder = sent.filter(({holder}) => holder === 'mieres_m2');
 	assert.deepEqual(
-		told.map(({message}) => message.t),
+		sentToNewHolder.map(({message}) => message.t),
 		['replace', 'part', 'keep'],
 	);
 });
 
-// Guards against a caller that waits for nothing: a later copy has its job.
-test('an entry whose copy is replaced gives its job up at once', () => {
+// The job runs as a later copy at another entry, so a caller that still waits here would wait in vain.
+test('an entry whose copy was replaced gives up the job at once', () => {
 	const {entry, groups, clock, sent} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	const answers: JobAnswer[] = [];
@@ -520,8 +523,8 @@
 	assert.equal(sent.at(-1)?.message.t, 'drop');
 });
 
-// Guards against a job that is cancelled for the caller's broken connection although the caller has come again over another one.
-test('a caller that leaves ends a job only if nobody else waits for it', () => {
+// A caller whose connection broke may already wait again over another one; its job must not be cancelled.
+test('a job is cancelled when a caller disconnects only if no other caller waits for it', () => {
 	const {entry, groups, clock} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	const answers: JobAnswer[] = [];
@@ -536,8 +539,9 @@
 	assert.equal(entry.size, 0);
 });
 
-// Guards against an entry whose machine was suspended, or whose clock is far from the holder's: its words would look old, or new, for ever.
-test('what an entry says names the time of the holder, not its own', () => {
+// If messages carried the entry's own clock, those of an entry whose machine was suspended, or whose clock differs much from
+// the holder's, would always look too old or too new.
+test('messages of an entry carry the time of the last state of the holder, not its own', () => {
 	const {entry, groups, clock, sent, listParts} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres', {at: 5_000_000}), clock.now);
 	entry.submit(makeRequest(), () => undefined);
@@ -554,8 +558,9 @@
 	});
 });
 
-// Guards against a task that is kept alive where it was taken away: what its former holder told meanwhile comes late, in a row.
-test('a claim on a silent holder is not named again once its tasks were moved', () => {
+// States that the silent holder sent meanwhile arrive late, one after another. If their answers named the claim, the holder
+// would keep running tasks that were moved elsewhere.
+test('a claim at a silent holder is not renewed once its tasks were moved', () => {
 	const {entry, groups, clock, sent, listParts} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	entry.submit(
@@ -586,15 +591,16 @@
 	assert.deepEqual(named, []);
 });
 
-// Guards against a task that is placed a second time for the end of an earlier taking: it took a slow connection, and came after the job was handed over anew.
-test('a word that gives back a task of an earlier taking does not move the task of this one', () => {
+// A message about an earlier submission is delayed by a slow connection and arrives after the job was submitted and sent
+// again. If it counted, the task would be placed a second time.
+test('a returned task of an earlier submission does not move the task of the present one', () => {
 	const {entry, groups, clock, listParts} = createEntryJobs();
 	const request = makeRequest({
 		count: 1,
 		declaredMs: 1000,
 		timeLeftMs: 9000,
 	});
-	const tellStates = () => {
+	const receiveStates = () => {
 		for (const [holder, group] of [
 			['mieres_m1', 'mieres'],
 			['langreo_l1', 'langreo'],
@@ -605,12 +611,12 @@
 		entry.update();
 	};
 
-	tellStates();
+	receiveStates();
 	const leave = entry.submit(request, () => undefined);
 	leave();
 	for (let passed = 0; passed < 1300; passed += 50) {
 		clock.now += 50;
-		tellStates();
+		receiveStates();
 	}
 
 	entry.submit(request, () => undefined);
@@ -627,8 +633,9 @@
 	assert.equal(listParts('langreo_l1').length, 0);
 });
 
-// Guards against a task that is placed beside its run: its group has changed hands twice, and the first holding's word took a slow connection.
-test('a word that gives back a task under an earlier holding of the same host does not move it', () => {
+// A group changes hands twice and is back at the first host, whose message from before was delayed. If it counted, the task
+// would be placed elsewhere while it runs.
+test('a task returned by the same host under an earlier token is not moved', () => {
 	const {entry, groups, clock, listParts} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres', {token: 5}), clock.now);
 	groups.update('langreo_l1', makeState('langreo'), clock.now);
@@ -658,8 +665,8 @@
 	assert.equal(listParts('langreo_l1').length, 0);
 });
 
-// Guards against a task that starts, or runs on, at another group after its end was taken note of here.
-test('a task that ends where it was moved from is taken away from where it was moved to', () => {
+// Otherwise the task would start, or continue to run, in the other group after its end is known here.
+test('a moved task that is done at its previous group is dropped at its new group', () => {
 	const {entry, groups, clock, sent, listParts} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	entry.submit(
@@ -687,8 +694,8 @@
 	assert.equal(dropped.length, 1);
 });
 
-// Guards against a job that crashes executors and begins anew each time that its caller sends it.
-test('a job that executors have crashed under fails at once, and again when it is sent again', () => {
+// Otherwise a job that crashes executors would start again each time its caller submits it.
+test('a job under which executors have crashed fails at once, and again when it is resubmitted', () => {
 	const {entry, groups, clock, sent, listParts} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	const answers: JobAnswer[] = [];
@@ -721,8 +728,8 @@
 	assert.equal(listParts('mieres_m1').length, 1);
 });
 
-// Guards against a count that begins anew as a task comes to another group.
-test('what an entry has heard of crashes goes with the tasks', () => {
+// Otherwise the count of crashes would start again at zero when a task is moved to another group.
+test('known crashes are sent along when a task moves to another group', () => {
 	const {entry, groups, clock, listParts} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	entry.submit(makeRequest({count: 1}), () => undefined);
--- a/packages/scheduling/src/entry-jobs.ts
+++ b/packages/scheduling/src/entry-jobs.ts
@@ -1,9 +1,9 @@
 /**
-The jobs that callers brought to this host: handed to schedulers task by task, followed until
-all tasks are done, and answered at once when they are or when they can't be.
+The jobs that callers submitted to this host, their entry. The entry places each job's tasks in groups, tracks them until all
+are done, and answers the caller as soon as they are, or as soon as it is clear that they can't be in time.
 
-The entry is the one that knows a job. A scheduler that dies, or loses its group, takes nothing
-with it that the entry could not hand to the next one.
+The entry holds the complete state of its jobs. When a scheduler dies or loses its group, the entry sends the tasks to the
+group's next holder.
 */
 import {
 	type ClaimsEnded,
@@ -48,18 +48,21 @@
 import {placeJob} from './place-job.js';
 import {isLate} from './rank-jobs.js';
 
-/** Attempts that a lost scheduler may have used up beyond those that the entry heard of. */
+/** Attempts that a lost scheduler may have started without the entry learning of them; a new start is numbered beyond them. */
 const lostAttempts = 16;
-/** Groups that may turn a job away before it is refused: what is known of the others' room is as old as what was known of these. */
+/**
+After this many groups have returned a task as `full`, its job is refused: what is known of the other groups' room is no
+newer than what was known of these.
+*/
 const maxFullGroups = 2;
 /**
-No scheduler in reach for longer than this: none is expected. Longer than a takeover takes without
-the store (`holderSilenceMs`, `storelessDelayMs`), or a start of all hosts.
+After this long without a reachable scheduler, jobs are refused at once instead of waiting for one. Longer than a takeover
+without the store takes (`holderSilenceMs`, `storelessDelayMs`), and than a start of all hosts.
 */
 const holderlessLimitMs = 2000;
-/** Least time after which a refused caller is asked to come again: a queue's state has changed by then. */
+/** Shortest `retryAfterMs` sent to callers: by then the state of a queue has changed. */
 const leastRetryMs = 1000;
-/** Longest; a wait that can't be told is no reason to keep a caller away for long. */
+/** Longest `retryAfterMs` sent to callers: a wait of unknown length is no reason to keep a caller away for long. */
 const mostRetryMs = 10_000;
 
 export type EntryPorts = {
@@ -75,9 +78,10 @@
 	runTimes: RunTimes;
 	/** Shared with the scheduler on the same host. */
 	crashes: CrashRecords;
-	/** Hands a message to a group's holder; false: there is no connection to it. */
+	/** Sends a message to a group's holder; false: there is no connection to it. */
 	send: (holder: string, message: HolderMessage) => boolean;
 	log: (message: string, fields: Record<string, unknown>) => void;
+	/** Called once for each job that ends, when its callers are answered. */
 	onAnswer: (job: EntryJob, answer: JobAnswer, tookMs: number) => void;
 };
 
@@ -88,10 +92,10 @@
 	readonly #lostHolders: LostHolders;
 	readonly #recall: CopyRecall;
 	readonly #replacement: CopyReplacement;
-	/** Jobs with tasks that wait for a scheduler to be in reach, or for other copies to be over. */
+	/** Jobs with unplaced tasks that wait for a reachable scheduler, or until no other copy of the job runs. */
 	readonly #waiting = new Set<EntryJob>();
 	#lastClaim = 0;
-	/** When a scheduler was last in reach; at first: when this host started. */
+	/** When a scheduler was last reachable; initially the start of this host. */
 	#reachedAt: number;
 
 	constructor(ports: EntryPorts) {
@@ -115,7 +119,7 @@
 		return this.#jobs.size;
 	}
 
-	/** Jobs of a queue of which no task has been started. */
+	/** Number of the queue's jobs of which no task has been started. */
 	countPending(queue: string): number {
 		let count = 0;
 		for (const {request, isStarted} of this.#jobs.values()) {
@@ -126,9 +130,9 @@
 	}
 
 	/**
-	Takes a job; `onAnswer` is called once. A job that is here already is joined.
+	Accepts a job; `onAnswer` is called once. If a job with this id is already here, the caller waits for that one.
 
-	Gives what tells that the caller has left: the job is cancelled when nobody else waits for it.
+	Returns a function to call when the caller has disconnected. The job is cancelled once no other caller waits for it.
 	*/
 	submit(
 		request: JobRequest,
@@ -159,7 +163,7 @@
 		};
 	}
 
-	/** The caller has cancelled: nothing more is started. */
+	/** Cancels a job at the caller's request: no more of its tasks are started. False: there is no such job here. */
 	cancel(id: string): boolean {
 		const job = this.#jobs.get(id);
 		if (job) {
@@ -169,7 +173,7 @@
 		return job !== undefined;
 	}
 
-	/** What a holder tells this entry. */
+	/** Handles a message from a group's holder. */
 	receive(holder: string, message: Ends | Replaced | ClaimsEnded): void {
 		switch (message.t) {
 			case 'ends': {
@@ -189,7 +193,7 @@
 		}
 	}
 
-	/** A holder has nothing of what this entry waits for there: it is handed over anew. */
+	/** The holder has no tasks under these claims, although this entry still wants them: sends the tasks again. */
 	receiveClaimsEnded(holder: string, {token, claims}: ClaimsEnded): void {
 		const known = this.#ports.groups
 			.list()
@@ -206,7 +210,7 @@
 		}
 	}
 
-	/** A holder has stopped what it had of other copies of a job, or has a later one. */
+	/** A holder confirms that it runs no other copy of a job, or refuses because another entry has a later copy. */
 	receiveReplaced(holder: string, message: Replaced): void {
 		const {job: id, takenAtMs, isRefused, crashes = []} = message;
 		this.#ports.crashes.learn(crashes, this.#ports.now());
@@ -227,12 +231,12 @@
 		this.#placeIfWaiting(job);
 	}
 
-	/** Another entry asks for this one's copy of a job; `from` is the host that the question came from. */
+	/** Another entry asks this one to give up its copy of a job; `from` is the host that sent or forwarded the message. */
 	receiveRecall(from: string, message: RecallCopy): void {
 		this.#recall.receiveRecall(from, message);
 	}
 
-	/** An entry has given its copy of a job up, or has none, or a later one. */
+	/** An entry's answer to `recall-copy`: it has given up its copy of a job, has none, or has a later one. */
 	receiveRecalled(message: CopyRecalled): void {
 		this.#ports.crashes.learn(message.crashes ?? [], this.#ports.now());
 		const job = this.#jobs.get(message.job);
@@ -252,7 +256,7 @@
 
 	receiveEnds(holder: string, message: Ends): void {
 		const job = this.#jobs.get(message.job);
-		// A host that has just given its group up: the tasks may run, and wait for the next holder.
+		// The sender has just released its group. The tasks may still run, and are claimed by the next holder.
 		if (!job || message.reason === 'released') {
 			return;
 		}
@@ -284,7 +288,7 @@
 		}
 	}
 
-	/** A group has another holder: it is told what this entry has there. */
+	/** The group has a new holder, or the connection to its holder is back: sends the holder all that this entry has in the group. */
 	handOver(group: string): void {
 		const now = this.#ports.now();
 		for (const job of this.#jobs.values()) {
@@ -302,18 +306,18 @@
 		}
 	}
 
-	/** A holder has told its state: jobs that wait for a scheduler are placed, and what this entry has there is renewed. */
+	/** To be called when a holder's state has arrived: places waiting jobs and renews this entry's claims in the group. */
 	receiveState(group: string): void {
 		this.placeWaiting();
 		this.answerState(group);
 	}
 
-	/** The connection to a host's process broke; `heardAt`: when that host was last there for sure. */
+	/** The connection to a host's process broke; `heardAt`: when that process was last known to be alive. */
 	markLinkDown(host: string, incarnation: string, heardAt: number): void {
 		this.#lostHolders.markBroken(host, incarnation, heardAt);
 	}
 
-	/** A connection to a host's process is made. */
+	/** A connection to a host's process was established. */
 	markLinkUp(host: string, incarnation: string): void {
 		this.#lostHolders.markBack(host, incarnation);
 		this.#recall.passUnsent(host);
@@ -322,7 +326,7 @@
 		}
 	}
 
-	/** A connection to a holder is back: what was sent meanwhile is sent again. */
+	/** The connection to a holder is back: sends again what may have been lost with the last one. */
 	sendAgain(holder: string): void {
 		this.#holders.sendDropsAgain(holder, this.#ports.now());
 		for (const {state, holder: current} of this.#ports.groups.list()) {
@@ -332,7 +336,7 @@
 		}
 	}
 
-	/** Places what waits for a scheduler; to be called when one is heard of. */
+	/** Places the jobs that wait for a reachable scheduler; to be called when a holder's state has arrived. */
 	placeWaiting(): void {
 		const waiting = [...this.#waiting];
 		this.#waiting.clear();
@@ -341,7 +345,7 @@
 		}
 	}
 
-	/** Renews what this entry has at the group; once for each state that its holder tells. */
+	/** Renews this entry's claims in the group, once for each state that its holder sends. */
 	answerState(group: string): void {
 		const known = this.#ports.groups.findGroup(group);
 		if (!known || !this.#holders.hasNewState(known)) {
@@ -354,7 +358,7 @@
 		}
 	}
 
-	/** What time alone brings about; to be called each 50 ms or so. */
+	/** Handles time-outs, lost tasks and waiting jobs; to be called about every 50 ms. */
 	update(): void {
 		const now = this.#ports.now();
 		if (this.#ports.groups.listRooms(now).length > 0) {
@@ -383,7 +387,7 @@
 		}
 	}
 
-	/** Nothing of a job that crashes executors is started again, whoever hands it in. */
+	/** Fails a job under whose tasks too many executors have crashed; no task of it is started again, whoever submits it. */
 	#failIfCondemned(job: EntryJob): boolean {
 		const task = this.#ports.crashes.findCondemned(job.request.id);
 		if (task === undefined) {
@@ -398,7 +402,7 @@
 		return true;
 	}
 
-	/** Each taking of a job by this entry is later than the one before, also where the time of day steps back. */
+	/** Each time this entry accepts the same job, `takenAtMs` is larger than before, even if the wall clock has stepped back. */
 	#chooseTakenAt(id: string): number {
 		const formerAt = this.#holders.findTakenAt(id) ?? -Infinity;
 		return Math.max(this.#ports.readWallClock(), formerAt + 1);
@@ -439,7 +443,7 @@
 		}
 	}
 
-	/** The caller has sent the job elsewhere since; nobody reads the answer given here. */
+	/** The caller has since sent the job to another entry, so nobody reads the answer given here. */
 	#giveUpReplaced(job: EntryJob): void {
 		job.isStarted = true;
 		this.#giveUp(job, 'another host has a later copy');
@@ -502,7 +506,10 @@
 		}
 	}
 
-	/** A task that has ended elsewhere is not to be started, or to run on, where it was moved to. */
+	/**
+	A task was done at a holder that it had been moved away from. The group that it was moved to must not start it or continue
+	running it, so the claim there is dropped once none of the job's other tasks needs it.
+	*/
 	#takeAway(job: EntryJob, {group}: EntryTask): void {
 		const known =
 			group === undefined ? undefined : this.#ports.groups.findGroup(group);
@@ -526,7 +533,7 @@
 		});
 	}
 
-	/** The word is of the holder that has the task now, and of the claim under which it has it. */
+	/** Whether the message comes from the holder that has the task now, and is about the claim under which it has the task. */
 	#isCurrent(
 		{claims}: EntryJob,
 		{group}: EntryTask,
@@ -542,7 +549,7 @@
 		);
 	}
 
-	/** A scheduler gave tasks back: they are tried elsewhere, while that is of use. */
+	/** A scheduler returned tasks: places them in another group, unless they can no longer end in time. */
 	#placeReturned(
 		job: EntryJob,
 		tasks: EntryTask[],
@@ -565,7 +572,7 @@
 		this.#placeTasks(job, tasks, from);
 	}
 
-	/** Places tasks; `avoided` is a group that has just found no room for them. */
+	/** Places tasks in groups; `avoided` is a group that has just returned them, and counts as having no free room. */
 	#placeTasks(job: EntryJob, tasks: EntryTask[], avoided?: string): void {
 		const ports = this.#ports;
 		const now = ports.now();
@@ -618,9 +625,9 @@
 	}
 
 	/**
-	After all hosts lost power, or while this one was paused, no scheduler is known for some tenths
-	of a second. Refused then, a hundred jobs a second are lost that a scheduler would take
-	a moment later; so they wait for it while their answer would still be of use.
+	After all hosts lost power, or while this host was paused, no scheduler is known for some tenths of a second. Jobs that arrive
+	then, about a hundred a second, wait as long as their answer would still be of use. Refusing them would lose jobs that a
+	scheduler accepts a moment later.
 	*/
 	#waitForScheduler(job: EntryJob, now: number): void {
 		const isExpected = now - this.#reachedAt <= holderlessLimitMs;
@@ -629,7 +636,7 @@
 			return;
 		}
 
-		// It has waited for want of a scheduler, not of room: it is let in also if it will be late.
+		// The job waits because no scheduler is reachable, not for lack of room: it is admitted even if it will be late.
 		job.isLetIn = true;
 		this.#waiting.add(job);
 	}
@@ -638,7 +645,7 @@
 		const now = this.#ports.now();
 		const startsAt = Math.max(now, clearAt ?? now);
 		if (startsAt + job.estimateMs >= job.uselessAt) {
-			// Where another copy has been started, that nothing ran would not be true.
+			// Another copy may have started tasks, so the caller must not be told that nothing has run.
 			const places = [...(job.copyCheck?.places.values() ?? [])];
 			job.isStarted ||= places.some(({isSure}) => isSure);
 			this.#giveUp(job, reason, startsAt - now);
@@ -648,7 +655,7 @@
 		this.#waiting.add(job);
 	}
 
-	/** A job that has waited for want of an answer, not of room, is let in as much later, and judged like others otherwise. */
+	/** Extends the job's admission limit by the time that it waited for answers about other copies: that wait says nothing about room. */
 	#extendAdmission(job: EntryJob, now: number): void {
 		const {copyCheck} = job;
 		if (copyCheck?.askedAt !== undefined) {
@@ -678,7 +685,10 @@
 		this.#sendPart(job, group, tasks, false);
 	}
 
-	/** What was there may have been lost on the way, or an earlier holder may run it: the group looks before it starts anything. */
+	/**
+	Sends the job's tasks in the group again under a new claim. An earlier holder may run them, or the messages may have been
+	lost, so the part is marked as moved: the group's holder first checks for runs before it starts a task.
+	*/
 	#handOverAnew(job: EntryJob, group: string): void {
 		const tasks = listTasksAt(job, group);
 		this.#openClaim(job, group);
@@ -693,7 +703,7 @@
 		}
 	}
 
-	/** Nothing of an earlier claim of the job on the group is wanted any more. */
+	/** Replaces the job's claim on the group by a new one: this entry no longer renews the earlier claim. */
 	#openClaim(job: EntryJob, group: string): void {
 		this.#lastClaim += 1;
 		job.claims.set(group, this.#lastClaim);
@@ -723,7 +733,7 @@
 			?.state.group;
 	}
 
-	/** Under which the group has tasks that this entry still wants. */
+	/** The claims under which the group has tasks that this entry still wants. */
 	#listClaims(group: string): number[] {
 		return [...this.#jobs.values()].flatMap((job) => {
 			const claim = job.claims.get(group);
@@ -733,7 +743,7 @@
 		});
 	}
 
-	/** All groups know of a job that this entry's copy is the one that counts, while they hear this entry. */
+	/** Whether this entry replaces other copies of some job. Groups prefer its copy only while they receive messages from this entry. */
 	#isReplacing(): boolean {
 		return [...this.#jobs.values()].some(
 			({copyCheck}) => copyCheck !== undefined,
@@ -741,8 +751,8 @@
 	}
 
 	/**
-	Tasks of a group whose holder is silent are placed elsewhere once it has stopped them. Where that
-	would be too late for the caller, it is told now rather than at the end of its time.
+	Places tasks of a silent holder in other groups once that holder has certainly stopped them. If that would be too late for the
+	caller, the job is given up now rather than when the caller's time is over.
 	*/
 	#moveLost(job: EntryJob, now: number): void {
 		const {groups, log} = this.#ports;
@@ -760,7 +770,7 @@
 			return;
 		}
 
-		log('scheduler is silent: placing its tasks anew', {
+		log('scheduler is silent: placing its tasks in other groups', {
 			job: job.request.id,
 			tasks: lost.tasks.length,
 		});
@@ -770,7 +780,7 @@
 			task.nextAttempt += lostAttempts;
 		}
 
-		// It may have started some: a refusal would not be true any more.
+		// The silent holder may have started some of the tasks, so `refused` would no longer be true.
 		job.isStarted = true;
 		this.#placeTasks(job, lost.tasks);
 	}
@@ -785,7 +795,7 @@
 		});
 	}
 
-	/** A scheduler may have started a task whose word is still on its way. */
+	/** Whether a scheduler may have started a task without its report having arrived. */
 	#isMaybeStarted(job: EntryJob): boolean {
 		return job.isHandedOver || job.tasks.some(({group}) => group !== undefined);
 	}
@@ -819,7 +829,7 @@
 		}
 	}
 
-	/** Groups that keep something of the job: tasks, or that this entry's copy is the one that counts. */
+	/** Groups that hold state of the job: tasks, or a record that this entry's copy replaces others. */
 	#listGroupsOf(job: EntryJob): Set<string> {
 		const groups = new Set(
 			job.copyCheck
@@ -836,7 +846,7 @@
 	}
 }
 
-/** The group has tasks of the job, which are stopped; undefined: it has none. */
+/** Where tasks of a job that is being dropped may still run in this group; undefined: the group has none. */
 function findPlace(
 	job: EntryJob,
 	{state: {group, token}}: KnownGroup,
--- a/packages/scheduling/src/group-directory.test.ts
+++ b/packages/scheduling/src/group-directory.test.ts
@@ -1,5 +1,5 @@
 /**
-Which groups new tasks go to while a holder falls silent.
+Tests of which groups new tasks are placed in while a holder falls silent.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -24,9 +24,9 @@
 	return spread.type === 'placed' ? [...spread.shares.keys()] : [];
 }
 
-// A scheduler's machine freezes. For six tenths of a second its last word still says that there is
-// room; a menu that is sent there is lost, although the next data centre has room a millisecond away.
-test('a group whose holder misses its words gets nothing while another has room', () => {
+// A scheduler's machine freezes. For six tenths of a second its last state still shows free room, and a job placed there is
+// lost although the next data centre, a millisecond away, has room.
+test('a group whose states are missing gets no tasks while another group has room', () => {
 	const groups = createGroupDirectory();
 	groups.update('mieres_m1', makeState('mieres'), 0);
 	groups.update('langreo_l1', makeState('langreo'), 0);
@@ -35,15 +35,15 @@
 	assert.deepEqual(choosePlace(groups, 400), ['langreo']);
 });
 
-test('a group whose holder misses its words is taken where there is no other', () => {
+test('a group whose states are missing gets tasks if there is no other group', () => {
 	const groups = createGroupDirectory();
 	groups.update('mieres_m1', makeState('mieres'), 0);
 	assert.deepEqual(choosePlace(groups, 400), ['mieres']);
 	assert.deepEqual(choosePlace(groups, stateStaleMs + 1), []);
 });
 
-// Guards against a host that takes an old word for a sign of life: it came on a connection that has broken since.
-test('a word that a newer one has overtaken changes nothing', () => {
+// An old state arrives late, over a connection that has broken since. It does not show that the holder is alive.
+test('a state that was overtaken by a newer one is ignored', () => {
 	const groups = createGroupDirectory();
 	groups.update('mieres_m1', makeState('mieres', {at: 300}), 0);
 	const late = makeState('mieres', {at: 150, isReleased: true});
--- a/packages/scheduling/src/group-directory.ts
+++ b/packages/scheduling/src/group-directory.ts
@@ -1,5 +1,6 @@
 /**
-What a host knows of the groups: who schedules each, since when it is silent, how much room it has.
+What a host knows about each group: its holder (the host whose scheduler runs the group's executors at present), since when the holder
+has been silent, and how much room the group has.
 */
 import {type GroupState} from '@gentianshift/protocol';
 import {type GroupRoom} from './place-job.js';
@@ -8,38 +9,37 @@
 
 export type KnownGroup = {
 	state: GroupState;
-	/** The holder's host. */
+	/** Key of the host that holds the group. */
 	holder: string;
-	/** When it last told its state; earlier where its connection has broken since. */
+	/** When the holder's last state arrived; set to an earlier time if its connection has broken since. */
 	heardAt: number;
-	/** When this host read the state: later than the holder told it. */
+	/** When this host received the state, which is later than the holder sent it. */
 	readAt: number;
-	/** Free processor, less what was sent there since. */
+	/** Free thousandths of a core of each executor, less the tasks sent there since the state arrived. */
 	free: number[];
 };
 
 export type GroupDirectory = {
-	/** Takes a holder's word, unless a newer one is known; true when the holder is another, or its token rose. */
+	/** Stores a holder's state unless a newer one is known; returns whether the group's holder or its token has changed. */
 	update: (holder: string, state: GroupState, now: number) => boolean;
 	findGroup: (group: string) => KnownGroup | undefined;
 	list: () => KnownGroup[];
-	/** Notes tasks sent to a group, until its next word. */
+	/** Subtracts tasks sent to a group from its free room, until its next state arrives. */
 	take: (group: string, cpu: number, tasks: number) => void;
-	/** Takes free room for tasks of that size in other groups than this one; gives for how many. */
+	/** Reserves free room for tasks of that size in groups other than `home`; returns for how many tasks. */
 	takeElsewhere: (
 		request: {home: string; cpu: number; tasks: number},
 		now: number,
 	) => number;
 	/**
-	Groups that new tasks may go to. A holder that has just died or is cut off is silent for some
-	tenths of a second before it counts as gone; tasks sent to it meanwhile come back too late for
-	jobs of short objectives. So one whose words are missing offers no free room, and is
-	taken only where nobody else has any.
+	The room of groups in which new tasks may be placed. A holder that has just died or is cut off is silent for some tenths of a
+	second before it counts as gone. Tasks sent to it in that time come back too late for jobs with short objectives. So a group
+	from which states are missing is listed with no free room, and is used only if no other group has any.
 	*/
 	listRooms: (now: number) => GroupRoom[];
-	/** What is known of each group, for the log. */
+	/** One line of text about each group, for the log. */
 	describe: (now: number) => string[];
-	/** A holder's connection broke: it is given half of the usual time to be heard again. */
+	/** The connection to a holder broke: its groups count as silent unless its next state arrives within half of the usual time. */
 	markDoubtful: (holder: string, now: number) => void;
 };
 
@@ -48,8 +48,8 @@
 }
 
 /**
-Told by an earlier holder, or overtaken by a word that came on a newer connection. Should two hosts ever have one token, all take the
-same one for the holder, and the other gives way.
+Whether the state is from an earlier holder, or was overtaken by a newer state on a newer connection. Should two hosts ever have the
+same token, all hosts regard the same one of them as the holder, and the other gives the group up.
 */
 function isOlder(
 	holder: string,
@@ -125,7 +125,7 @@
 			[...groups.values()].map(({state, holder, heardAt, free}) => {
 				const ageMs = Math.round(now - heardAt);
 				const released = state.isReleased ? ' released' : '';
-				return `${state.group}: ${holder} token ${state.token}${released}, told ${ageMs} ms ago, ${free.length} open, capacity ${state.capacity}`;
+				return `${state.group}: ${holder} token ${state.token}${released}, last state ${ageMs} ms ago, ${free.length} executors open, capacity ${state.capacity}`;
 			}),
 		markDoubtful(holder, now) {
 			for (const known of groups.values()) {
--- a/packages/scheduling/src/holder-contacts.ts
+++ b/packages/scheduling/src/holder-contacts.ts
@@ -1,8 +1,9 @@
 /**
-What an entry tells the holders of groups: which claims it still wants, as an answer to each of their states, and which jobs it wants no more.
+Sends an entry's messages to the holders of groups: tasks, the claims that it still wants (in answer to each of the holder's states), and
+the jobs that it no longer wants.
 
-What goes wrong: the connection to a holder breaks just when a job is given up, and the word to drop it is lost. Its claim ends by
-itself, but its runs take room until then. Therefore jobs that were dropped lately are named again on each new connection.
+The failure prevented here: the connection to a holder breaks just when a job is given up, and the `drop` message is lost. The job's
+claim expires by itself, but until then its runs take up room. Therefore recent `drop` messages are sent again on each new connection.
 */
 import {
 	type Drop,
@@ -14,7 +15,7 @@
 import {type KnownGroup} from './group-directory.js';
 import {orphanLimitMs} from './timing.js';
 
-/** By then a holder that did not get the word has stopped the job, or has been told on a new connection. */
+/** By then a holder that did not receive the `drop` has stopped the job, or has received it over a new connection. */
 const dropMemoryMs = 2 * orphanLimitMs;
 
 export type HolderMessage = Part | Replace | Drop | Keep;
@@ -22,24 +23,25 @@
 type SentDrop = {
 	holder: string;
 	message: Drop;
-	/** Tasks of the job may run in the holder's group. */
+	/** Where tasks of the job may still run in the holder's group; undefined: nowhere. */
 	place: CopyPlace | undefined;
+	/** When it was first sent. */
 	at: number;
 };
 
 export type HolderContacts = {
 	sendPart: (holder: string, part: Part) => void;
-	/** Whether the group's holder has told a state that this entry has not answered. */
+	/** Whether the group's holder has sent a state that this entry has not answered. */
 	hasNewState: (known: KnownGroup) => boolean;
-	/** Answers the state: these claims are wanted, and no others. */
+	/** Answers the holder's state: this entry wants these claims and no others. */
 	sendKeep: (known: KnownGroup, claims: number[]) => void;
 	sendReplace: (holder: string, message: Replace) => void;
 	sendDrop: (drop: SentDrop) => void;
-	/** When the job was taken that was dropped last; undefined: it was not dropped lately. */
+	/** `takenAtMs` of the job when it was last dropped; undefined: it was not dropped recently. */
 	findTakenAt: (job: string) => number | undefined;
-	/** Where tasks of the job may run since it was dropped. */
+	/** Where tasks of the dropped job may still run. */
 	listPlaces: (job: string, now: number) => CopyPlace[];
-	/** A connection to the holder is back: what may have been lost with the last one is told again. */
+	/** A connection to the holder is back: sends again the `drop` messages that may have been lost with the last one. */
 	sendDropsAgain: (holder: string, now: number) => void;
 	forgetOld: (now: number) => void;
 };
@@ -47,7 +49,7 @@
 export function createHolderContacts(
 	send: (holder: string, message: HolderMessage) => boolean,
 ): HolderContacts {
-	/** By group. */
+	/** Token and time of the state that was answered last, by group. */
 	const answered = new Map<string, {token: number; at: number}>();
 	let dropped: SentDrop[] = [];
 
--- a/packages/scheduling/src/job-copies.test.ts
+++ b/packages/scheduling/src/job-copies.test.ts
@@ -1,5 +1,5 @@
 /**
-Copies of one job at several entries: at a scheduler, on a virtual clock with executors, and between two schedulers.
+Tests of copies of one job at several entries: at a scheduler with executors on a virtual clock, and at two schedulers.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -34,8 +34,8 @@
 	return {clock, copies};
 }
 
-// Guards against a second copy that is started at another group while the first one still runs here.
-test('an entry is told that other copies are over when their runs have ended, not before', async () => {
+// Otherwise the second copy would start in another group while the first one still runs here.
+test('a replacement is confirmed only once the runs of the other copies have ended', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 3000,
@@ -56,8 +56,8 @@
 	assert.equal(entry.replaced.at(-1)?.isRefused, true);
 });
 
-// Guards against a first copy that its entry reads late, from a connection that has broken since, and hands over beside the second.
-test('a part of an earlier copy that comes late is not started', async () => {
+// The first entry reads the request late, from a connection that has broken since, and sends its tasks when the second copy runs.
+test('a part of an earlier copy that arrives late is not started', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 2,
 		taskMs: 500,
@@ -75,9 +75,9 @@
 	assert.equal(entry.replaced.at(-1)?.isRefused, true);
 });
 
-// Guards against a job that is turned away for a copy that is over: its caller was answered 504, and comes again 1,300 ms later on the
-// same connection.
-test('a job comes again once the entry that replaced its copies has dropped it', async () => {
+// A caller was answered 504 and submits the job again 1,300 ms later on the same connection. The job must not be refused because
+// of a copy that has ended.
+test('a job can be submitted again once the entry that replaced its copies has dropped it', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 50,
@@ -94,9 +94,9 @@
 	assert.equal(executors.runs[0]?.outcome, 'done');
 });
 
-// Guards against a job that is turned away because the host that took it first is dead: its caller comes again 1,300 ms after that, on a
-// connection that it has to another host.
-test('a copy whose entry is dead does not hold up the one that its caller sends again', async () => {
+// The host that accepted the job first is dead. The caller submits the job again 1,300 ms later, over a connection that it already
+// has to another host, and must not be refused.
+test('a copy whose entry is dead does not block the next submission', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 50,
@@ -109,8 +109,8 @@
 	assert.equal(executors.runs[0]?.outcome, 'done');
 });
 
-// Guards against two copies that are both confirmed, each by the schedulers that its message reached last.
-test('of two entries that replace each other the same one is refused by all schedulers', () => {
+// Otherwise both copies could be confirmed, each by the schedulers that its message reached last.
+test('when two entries replace each other, all schedulers refuse the same one', () => {
 	const first = createEntry('mieres_m1.0');
 	const second = createEntry('langreo_l1.0');
 	const ofFirst = makeReplace({takenAtMs: 1000});
@@ -133,8 +133,8 @@
 	assert.ok(there.isReplaced('job1', first));
 });
 
-// Guards against a first taking that runs on beside the second one: the entry's word to drop it was lost with a connection.
-test('a job that its entry takes anew ends what is left of the former taking', async () => {
+// The entry's `drop` of the first submission was lost with a connection, so that copy would run on beside the second one.
+test('a job that its entry accepts again stops the runs of the earlier submission', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 500,
@@ -148,8 +148,8 @@
 	assert.equal(entry.replaced.at(-1)?.isRefused, false);
 });
 
-// Guards against a job that is lost although its caller waits: the word to drop it came late, after it was taken again.
-test('a word to drop a former taking leaves the later one', async () => {
+// The `drop` of an earlier submission arrives after the job was accepted again. Its caller waits, so the job must not be lost.
+test('the drop of an earlier submission does not affect the later one', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 100,
@@ -164,7 +164,7 @@
 	assert.equal(executors.runs[0]?.outcome, 'done');
 });
 
-test('of copies that came at the same time one is refused by all schedulers', () => {
+test('of two copies accepted at the same time, all schedulers refuse the same one', () => {
 	const first = createEntry('mieres_m1.0');
 	const second = createEntry('langreo_l1.0');
 	for (const order of [
@@ -181,8 +181,8 @@
 	}
 });
 
-// Guards against a job that is turned away for good because the entry of its other copy has died.
-test('a copy no longer counts when its caller no longer waits', () => {
+// Otherwise a job would be refused for ever if the entry of its other copy died.
+test('a copy no longer blocks others once its caller no longer waits', () => {
 	const {clock, copies} = createCopies();
 	const first = createEntry('mieres_m1.0');
 	copies.replace(createEntry('langreo_l1.0'), makeReplace({timeLeftMs: 500}));
--- a/packages/scheduling/src/job-copies.ts
+++ b/packages/scheduling/src/job-copies.ts
@@ -1,11 +1,11 @@
 /**
-Which entry's copy of a job counts at a scheduler, when the job's caller may have sent it to several.
+Decides, at a scheduler, which entry's copy of a job may run when the caller may have sent the job to several entries.
 
-What goes wrong: a caller's connection is reset while its request is on the way, and its HTTP library sends the request again at once
-over a new connection, to another entry. The first entry has not read of the reset yet, and both hand the same tasks to
-schedulers: one task runs twice at a time. So the second entry has its copy confirmed by every scheduler before it places
-tasks. Each of them stops what it has of other copies, answers when nothing of the job runs, and starts no other copy
-that reaches it later.
+The failure prevented here: a caller's connection is reset while its request is in flight, and its HTTP library repeats the request at
+once over a new connection to another entry. The first entry has not read the reset yet, so both entries send the same tasks to
+schedulers, and one task runs twice at the same time. Therefore the second entry asks every scheduler to confirm its copy
+(`replace`) before it places tasks. Each scheduler stops what it has of other copies, answers (`replaced`) once nothing of the job
+runs, and starts no other copy that arrives later.
 */
 import {
 	type Replace,
@@ -18,24 +18,30 @@
 
 export type CopyPorts = {
 	now: () => number;
-	/** Stops other copies of the job than this one of the entry; true: one came from an earlier holder of the group. */
+	/** Stops all copies of the job except this one of the entry; true: one of them came from an earlier holder of the group. */
 	dropOthers: (entry: Entry, message: Replace) => boolean;
-	/** A task of the job runs here, or may under an earlier holder. `isMoved`: the copy that was dropped came from one. */
+	/**
+	Whether a task of the job runs here, or may run under an earlier holder. `isMoved`: the copy that was stopped came from an
+	earlier holder.
+	*/
 	mayRun: (job: string, isMoved: boolean) => boolean;
-	/** Executors that crashed under tasks of the job: the later copy would not know of them. */
+	/** Executors that crashed under tasks of the job. They are part of the answer, as the entry of the later copy may not know them. */
 	listCrashes: (job: string) => TaskCrashes[] | undefined;
 };
 
 export type JobCopies = {
-	/** `isMoved`: an earlier holder of the group had tasks of another copy. */
+	/**
+	Makes the entry's copy replace all others, or refuses it if another entry has a later one. The entry is answered once no other
+	copy runs here. `isMoved`: an earlier holder of the group had tasks of another copy.
+	*/
 	replace: (entry: Entry, message: Replace, isMoved?: boolean) => void;
-	/** Another entry has a later copy of the job. */
+	/** Whether another entry's copy replaces this entry's copy of the job. */
 	isReplaced: (job: string, entry: Entry) => boolean;
-	/** The entry's copy has ended, if it was taken by then. */
+	/** The entry's copy has ended, if the entry accepted it no later than `takenAtMs`. */
 	release: (job: string, entry: Entry, takenAtMs: number) => void;
-	/** The entry is silent: none of its copies holds up another any longer. */
+	/** The entry is silent: its copies stop blocking others after `orphanStopMs`. */
 	releaseAll: (entryKey: string) => void;
-	/** Answers the entries whose jobs no longer run in another copy; to be called when runs have ended. */
+	/** Answers entries that wait for other copies of their jobs to stop; to be called when runs have ended. */
 	answerSettled: () => void;
 	forgetOld: () => void;
 };
@@ -43,7 +49,7 @@
 type Copy = {
 	entry: Entry;
 	takenAtMs: number;
-	/** It holds up others until then; this host's clock. */
+	/** Until then this copy blocks other copies; this host's steady clock. */
 	endsAt: number;
 	isMoved: boolean;
 	formerTokens: TokenRange | undefined;
@@ -60,7 +66,7 @@
 	listCrashes,
 }: CopyPorts): JobCopies {
 	const copies = new Map<string, Copy>();
-	/** Jobs whose entries have yet to be answered. */
+	/** Jobs whose replacement has yet to be answered. */
 	const unanswered = new Set<string>();
 
 	function find(job: string): Copy | undefined {
@@ -95,7 +101,7 @@
 		}
 	}
 
-	/** What the copy has at other groups may take as long to be stopped. */
+	/** The copy blocks others for at most `afterMs` longer: its runs in other groups may take that long to stop. */
 	function endSoon(copy: Copy, afterMs: number): void {
 		copy.endsAt = Math.min(copy.endsAt, now() + afterMs);
 	}
--- a/packages/scheduling/src/lost-answers.test.ts
+++ b/packages/scheduling/src/lost-answers.test.ts
@@ -1,5 +1,5 @@
 /**
-What callers get while executors leave a part of the orders unanswered, on a virtual clock.
+Tests how many jobs end in time while executors leave some of the scheduler's orders unanswered, on a virtual clock.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -15,12 +15,12 @@
 
 const runMs = 60;
 const jobCount = 60;
-/** The objective of such a job: 1.6 times its run, and 60 ms. */
+/** Latency objective of each job: 1.6 times its run time plus 60 ms. */
 const objectiveMs = 1.6 * runMs + 60;
 
-// One order in twenty goes unanswered, renewals among them, which bring the ends. A job of two short tasks is hit at its starts one time in ten;
-// all others are to be in time, although each end is told by a renewal that may be lost.
-test('one order in twenty lost makes few short jobs late', async () => {
+// One order in twenty gets no answer. That includes lease renewals, whose answers report the ends of runs. The two starts of a
+// job are hit about one time in ten; all other jobs have to be in time although the report of an end may be lost.
+test('few short jobs are late when one order in twenty is lost', async () => {
 	const draw = createDraw(3);
 	let isLossy = false;
 	const {clock, executors, scheduler, entry} = await openScheduler({
@@ -31,8 +31,8 @@
 		}),
 	});
 	const doneAt = new Map<string, number>();
-	const begunAt = new Map<string, number>();
-	const noting = {
+	const submittedAt = new Map<string, number>();
+	const recordingEntry = {
 		...entry,
 		send(message: Parameters<Entry['send']>[0]) {
 			const isDone =
@@ -46,19 +46,19 @@
 	isLossy = true;
 	for (let i = 0; i < jobCount; i += 1) {
 		const job = `job${i}`;
-		begunAt.set(job, clock.now);
+		submittedAt.set(job, clock.now);
 		const part = makePart(clock, {
 			job,
 			tasks: makeTasks(2),
 			remaining: 2,
 			estimateMs: runMs,
 		});
-		scheduler.receivePart(noting, part);
-		await runFor(clock, 100, [[scheduler, noting]]);
+		scheduler.receivePart(recordingEntry, part);
+		await runFor(clock, 100, [[scheduler, recordingEntry]]);
 	}
 
-	await runFor(clock, 1000, [[scheduler, noting]]);
-	const inTime = [...begunAt].filter(
+	await runFor(clock, 1000, [[scheduler, recordingEntry]]);
+	const inTime = [...submittedAt].filter(
 		([job, at]) => (doneAt.get(job) ?? Infinity) - at <= objectiveMs,
 	);
 	assert.equal(doneAt.size, jobCount);
--- a/packages/scheduling/src/lost-holders.ts
+++ b/packages/scheduling/src/lost-holders.ts
@@ -1,44 +1,49 @@
 /**
-Holders of groups whose connection broke: what they had started may still run.
+Tracks holders of groups to which the connection broke: tasks that they started may still run.
 
-What goes wrong: the process that dies is a job's entry and the holder of a group in one, or the entry dies while the holder can't be reached.
-The caller sends the job again at once, and nobody is left who knows that tasks of it run under leases that have just been renewed.
+The failure prevented here: a process dies that was both a job's entry and a group's holder, or the entry dies while the holder is
+unreachable. The caller submits the job again at once, and no reachable host knows that its tasks still run under leases that were
+renewed just before.
 */
 import {type TokenRange} from '@gentianshift/protocol';
 import {joinPlaces, type CopyPlace} from './copy-check.js';
 import {isSilent, type GroupDirectory} from './group-directory.js';
 import {clockSlackMs, orphanLimitMs} from './timing.js';
 
-/** A caller whose connection broke has sent its request again by then. */
+/** By then a caller whose connection broke has repeated its request. */
 const resendLimitMs = 300;
-/** By then a connection that broke is back, where the host lives and is in reach. */
+/** By then a broken connection is back, if the host is alive and reachable. */
 const redialLimitMs = 100;
 
 type Loss = {
 	host: string;
 	incarnation: string;
+	/** When the process was last known to be alive. */
 	at: number;
-	/** Groups that could not be reached from then on. */
+	/** Groups that could not be reached at that time: those that the host held, and those whose holders were silent. */
 	places: CopyPlace[];
 };
 
 export type LostHolders = {
-	/** The connection to a host's process broke; `at`: when that host was last there for sure. */
+	/** The connection to a host's process broke; `at`: when that process was last known to be alive. */
 	markBroken: (host: string, incarnation: string, at: number) => void;
-	/** A connection to the host is back; another process than before does not know what the former one started. */
+	/** A connection to the host is back. Only the same process as before knows what it started, so a new process does not clear the loss. */
 	markBack: (host: string, incarnation: string) => void;
-	/** There may be a connection in a moment. */
+	/** Whether the connection to the host is still within the time in which it is normally re-established. */
 	isRedialled: (host: string, now: number) => boolean;
-	/** The group's holder is lost, and not in a moment's time back. */
+	/** Whether the connection to the group's holder broke and was not re-established in time. */
 	isLost: (group: string, now: number) => boolean;
-	/** Where lost hosts may have had tasks of a job that came at that time. */
+	/** Where lost hosts may have had tasks of a job that arrived here at `arrivedAt`. */
 	listPlaces: (arrivedAt: number) => CopyPlace[];
-	/** Likewise in groups that others know to have a later holder, by its token: the one that is known here can't tell. */
+	/**
+	Likewise in groups whose token, as another entry reports it, is later than the one known here: the holder known here can't
+	tell whether a copy runs.
+	*/
 	listOutdated: (
 		tokens: ReadonlyArray<[group: string, token: number]>,
 		arrivedAt: number,
 	) => CopyPlace[];
-	/** Where a lost host may have had tasks of a job that came at that time; undefined: not in this group. */
+	/** Where in the group lost hosts may have had tasks of a job that arrived here at `arrivedAt`; undefined: nowhere. */
 	findPlace: (group: string, arrivedAt: number) => CopyPlace | undefined;
 };
 
@@ -65,7 +70,6 @@
 			.map(({state: {group, token}}) => makePlace(group, [token, token], at));
 	}
 
-	/** Where lost hosts may have had tasks of a job that came at that time. */
 	function listPlaces(arrivedAt: number): CopyPlace[] {
 		return losses.flatMap(({at, places}) =>
 			arrivedAt - at <= resendLimitMs ? places : [],
--- a/packages/scheduling/src/lost-tasks.ts
+++ b/packages/scheduling/src/lost-tasks.ts
@@ -1,6 +1,6 @@
 /**
-Tasks of a job at a group whose holder is silent, and when they may be placed elsewhere: the claims that the silent one has end by
-themselves, as no word of this entry can answer a state that was not read.
+Finds a job's tasks in groups whose holder is silent, and when they may be placed elsewhere. The claims at a silent holder expire by
+themselves: this entry renews a claim only by answering a state of the holder, and it receives none.
 */
 import {type EntryJob, type EntryTask} from './entry-job.js';
 import {
@@ -12,11 +12,11 @@
 
 export type LostTasks = {
 	tasks: EntryTask[];
-	/** Nothing of them runs any more from then on. */
+	/** From this time on none of the tasks runs at the silent holder. */
 	movableAt: number;
 };
 
-/** Undefined: none is lost. */
+/** Undefined: no task of the job is lost. */
 export function findLostTasks(
 	{tasks}: EntryJob,
 	groups: GroupDirectory,
--- a/packages/scheduling/src/make-part.ts
+++ b/packages/scheduling/src/make-part.ts
@@ -1,5 +1,5 @@
 /**
-What an entry tells a scheduler of a job whose tasks it hands over.
+Builds the `part` message, by which an entry sends tasks of a job to a scheduler.
 */
 import {
 	type GroupState,
@@ -12,10 +12,10 @@
 	/** Tasks may run under an earlier holder of the group. */
 	isMoved: boolean;
 	claim: number;
-	/** The newest state of the group that this entry has read. */
+	/** The newest state of the group that this entry has received. */
 	state: GroupState;
 	now: number;
-	/** Executors that crashed under its tasks. */
+	/** Executors that crashed under the job's tasks; undefined: none is known. */
 	crashes: TaskCrashes[] | undefined;
 };
 
--- a/packages/scheduling/src/measure-load.ts
+++ b/packages/scheduling/src/measure-load.ts
@@ -1,17 +1,17 @@
 /**
-What waits and runs at a scheduler, and whether one more job would be late there.
+Measures the work that waits and runs at a scheduler, and tells whether another job would end too late there.
 */
 import {type GroupState} from '@gentianshift/protocol';
 import {type GroupJob} from './group-job.js';
 import {estimateWaitMs, longestFactor} from './place-job.js';
 import {compareJobs, isLate} from './rank-jobs.js';
 
-/** Priorities that are told apart in the load. */
+/** Number of priorities that the load distinguishes; lower priorities count as the last of them. */
 const priorityCount = 4;
 
 export type GroupLoad = Pick<GroupState, 'backlog' | 'lateBacklog' | 'running'>;
 
-/** Waiting work and running demand, by priority. */
+/** By priority: waiting work (thousandths of a core times milliseconds) and running demand (thousandths of a core). */
 export function measureLoad(jobs: Iterable<GroupJob>, now: number): GroupLoad {
 	const backlog = Array.from({length: priorityCount}, () => 0);
 	const lateBacklog = Array.from({length: priorityCount}, () => 0);
@@ -38,8 +38,8 @@
 }
 
 /**
-Whether a job of this scheduler that has to wait ends later than this from now: what goes before it by
-rank, those of its rank that came earlier, and its own tasks.
+Whether a job of this scheduler that has to wait would end later than `limitMs` from now. The estimate counts the jobs that rank before
+it, those of equal rank that came earlier, and its own tasks.
 */
 export function isTooLate(
 	job: GroupJob,
@@ -50,7 +50,7 @@
 	const ahead = all.filter((other) => compareJobs(other, job, now) <= 0);
 	const {running} = measureLoad(all, now);
 	const load = {...measureLoad(ahead, now), running, capacity};
-	// What is ahead was picked by rank already, the late jobs among it.
+	// `ahead` was selected by rank and may include late jobs; `isLate: true` makes the estimate count them all.
 	const waitMs = estimateWaitMs(load, {...job, isLate: true}, 0);
 	return waitMs + longestFactor * job.estimateMs > limitMs;
 }
