--- a/packages/scheduling/src/claim-run.ts
+++ b/packages/scheduling/src/claim-run.ts
@@ -5,7 +5,7 @@
 import {type GroupJob, type GroupTask} from './group-job.js';
 import {type Run} from './run.js';
 
-export type Claim =
+export type ClaimRunResult =
 	| {type: 'ended'; attempt: number}
 	| {type: 'running'; run: Run; executor: string};
 
@@ -16,7 +16,7 @@
 	sessions: Iterable<ExecutorSession>,
 	{id, demand}: GroupJob,
 	{index, nextAttempt}: GroupTask,
-): Claim | undefined {
+): ClaimRunResult | undefined {
 	const task = {job: id, index};
 	for (const session of sessions) {
 		if (!session.hasUnclaimed) {
--- a/packages/scheduling/src/copy-check.ts
+++ b/packages/scheduling/src/copy-check.ts
@@ -9,7 +9,7 @@
 	/** Fencing tokens of the first and the last holder that those tasks were sent to. */
 	tokens: TokenRange;
 	/** From this time on none of those tasks runs, whatever happens to the holder; this host's steady clock. */
-	overAt: number;
+	stoppedBy: number;
 	/** An entry confirmed that it sent tasks there; false: an entry that is lost may have sent some. */
 	isSure: boolean;
 };
@@ -49,7 +49,7 @@
 	return {
 		group: place.group,
 		tokens: [Math.min(first, otherFirst), Math.max(last, otherLast)],
-		overAt: Math.max(place.overAt, other.overAt),
+		stoppedBy: Math.max(place.stoppedBy, other.stoppedBy),
 		isSure: place.isSure || other.isSure,
 	};
 }
--- a/packages/scheduling/src/copy-recall.test.ts
+++ b/packages/scheduling/src/copy-recall.test.ts
@@ -61,7 +61,7 @@
 		});
 	};
 
-	const list = <T extends Sent['message']['t']>(t: T) =>
+	const listSent = <T extends Sent['message']['t']>(t: T) =>
 		sent.flatMap(({to, message}) =>
 			message.t === t
 				? {to, message: message as Extract<Sent['message'], {t: T}>}
@@ -70,7 +70,7 @@
 	// After this time the entry no longer expects hosts without a connection to connect in a moment.
 	clock.now += 200;
 	receiveStates();
-	return {clock, entry, answers, submit, list, groups};
+	return {clock, entry, answers, submit, list: listSent, groups};
 }
 
 function makeRequest(request: Partial<JobRequest>): JobRequest {
--- a/packages/scheduling/src/copy-recall.ts
+++ b/packages/scheduling/src/copy-recall.ts
@@ -15,8 +15,8 @@
 import {parseProcessId} from './process-id.js';
 import {entryWordLimitMs} from './timing.js';
 
-/** A host that no reachable host could pass a recall on to counts as gone for this long: during that time it causes no further recalls. */
-const goneMs = 1000;
+/** A host that no reachable host could pass a recall on to is ignored for this long: it causes no further recalls. */
+const ignoreUnreachableMs = 1000;
 
 /** The other hosts and the connections to them. */
 export type EntryPeers = {
@@ -47,11 +47,11 @@
 
 export type CopyRecall = {
 	/** Whether some host that is unreachable from here may be reachable from other hosts. */
-	hasUnknownHosts: () => boolean;
+	hasUnreachableHosts: () => boolean;
 	/** Asks the other entries for their copies; does nothing if that was done for this job, or if no check runs. */
 	ask: (job: EntryJob) => void;
 	/** A connection to the host was established: sends the recalls that wait for it. */
-	passUnsent: (host: string) => void;
+	sendPending: (host: string) => void;
 	/** A connection to the host was established: asks its entry about this job, unless it has answered. */
 	askAgain: (job: EntryJob, host: string) => void;
 	/** Whether every entry that could be asked has answered, or its time to answer is over. */
@@ -70,9 +70,13 @@
 
 export function createCopyRecall(ports: CopyRecallPorts): CopyRecall {
 	const {self, now, peers, lostHolders, log} = ports;
-	const goneUntil = new Map<string, number>();
+	const ignoredUntil = new Map<string, number>();
 	/** Recalls to send when a connection to their host is established. */
-	let unsent: Array<{host: string; message: RecallCopy; until: number}> = [];
+	let pendingRecalls: Array<{
+		host: string;
+		message: RecallCopy;
+		until: number;
+	}> = [];
 
 	function listUnlinked(): string[] {
 		return peers.listHosts().filter((host) => !peers.isLinked(host));
@@ -89,16 +93,16 @@
 		job.copyCheck?.hostsToAnswer?.set(host, now() + entryWordLimitMs);
 	}
 
-	function markGone({hostsAnswered}: CopyCheck): void {
+	function ignoreUnreachable({hostsAnswered}: CopyCheck): void {
 		for (const host of listUnlinked()) {
 			if (!hostsAnswered.has(host)) {
-				goneUntil.set(host, now() + goneMs);
+				ignoredUntil.set(host, now() + ignoreUnreachableMs);
 			}
 		}
 	}
 
 	/** False: the host is unreachable from here as well. */
-	function passOn(host: string, message: RecallCopy): boolean {
+	function forwardRecall(host: string, message: RecallCopy): boolean {
 		if (host === parseProcessId(self).host) {
 			return false;
 		}
@@ -107,19 +111,19 @@
 			return true;
 		}
 
-		const isRedialled = lostHolders.isRedialled(host, now());
-		if (isRedialled) {
-			unsent = unsent.filter(({until}) => now() <= until);
-			unsent.push({host, message, until: now() + entryWordLimitMs});
+		const isReconnecting = lostHolders.isReconnecting(host, now());
+		if (isReconnecting) {
+			pendingRecalls = pendingRecalls.filter(({until}) => now() <= until);
+			pendingRecalls.push({host, message, until: now() + entryWordLimitMs});
 		}
 
-		return isRedialled;
+		return isReconnecting;
 	}
 
 	return {
-		hasUnknownHosts: () =>
+		hasUnreachableHosts: () =>
 			listUnlinked().some(
-				(host) => now() >= (goneUntil.get(host) ?? -Infinity),
+				(host) => now() >= (ignoredUntil.get(host) ?? -Infinity),
 			),
 		ask(job) {
 			const {copyCheck} = job;
@@ -133,20 +137,22 @@
 			for (const host of peers.listHosts()) {
 				if (peers.isLinked(host)) {
 					sendRecall(job, host, unlinked);
-				} else if (lostHolders.isRedialled(host, now())) {
+				} else if (lostHolders.isReconnecting(host, now())) {
 					hostsToAnswer.set(host, now() + entryWordLimitMs);
 				}
 			}
 		},
-		passUnsent(host) {
-			goneUntil.delete(host);
-			for (const one of unsent) {
-				if (one.host === host && now() <= one.until) {
-					peers.send(host, one.message);
+		sendPending(host) {
+			ignoredUntil.delete(host);
+			for (const recall of pendingRecalls) {
+				if (recall.host === host && now() <= recall.until) {
+					peers.send(host, recall.message);
 				}
 			}
 
-			unsent = unsent.filter((one) => one.host !== host && now() <= one.until);
+			pendingRecalls = pendingRecalls.filter(
+				(recall) => recall.host !== host && now() <= recall.until,
+			);
 		},
 		askAgain(job, host) {
 			const {copyCheck} = job;
@@ -175,21 +181,21 @@
 				return false;
 			}
 
-			markGone(copyCheck);
+			ignoreUnreachable(copyCheck);
 			return true;
 		},
 		receiveRecall(from, {job, takenAtMs, entry, passTo}) {
-			const asked = {entry, takenAtMs};
+			const askingCopy = {entry, takenAtMs};
 			const ownTakenAt = ports.findTakenAt(job);
 			const isRefused =
 				ownTakenAt !== undefined &&
-				isLaterCopy({entry: self, takenAtMs: ownTakenAt}, asked);
+				isLaterCopy({entry: self, takenAtMs: ownTakenAt}, askingCopy);
 			if (!isRefused) {
 				ports.giveUp(job);
 			}
 
 			const passedTo = passTo.filter((host) =>
-				passOn(host, {t: 'recall-copy', job, ...asked, passTo: []}),
+				forwardRecall(host, {t: 'recall-copy', job, ...askingCopy, passTo: []}),
 			);
 			const places = [
 				...ports.listPlaces(job),
@@ -198,14 +204,14 @@
 			const answer: CopyRecalled = {
 				t: 'copy-recalled',
 				job,
-				...asked,
+				...askingCopy,
 				host: parseProcessId(self).host,
 				isRefused,
 				passedTo,
 				groups: ports.listTokens(),
-				places: places.map(({overAt, ...place}) => ({
+				places: places.map(({stoppedBy, ...place}) => ({
 					...place,
-					overInMs: overAt - now(),
+					overInMs: stoppedBy - now(),
 				})),
 				crashes: ports.listCrashes(job),
 			};
@@ -238,11 +244,11 @@
 
 			const places = message.places.map(({overInMs, ...place}) => ({
 				...place,
-				overAt: now() + overInMs,
+				stoppedBy: now() + overInMs,
 			}));
 			return [
 				...places,
-				...lostHolders.listOutdated(message.groups, job.arrivedAt),
+				...lostHolders.listSuperseded(message.groups, job.arrivedAt),
 			];
 		},
 	};
--- a/packages/scheduling/src/copy-replacement.ts
+++ b/packages/scheduling/src/copy-replacement.ts
@@ -29,7 +29,7 @@
 export type CopyObstacle = {
 	reason: string;
 	/** Earliest time at which the obstacle can be gone; undefined: an answer may remove it at any time. */
-	clearAt?: number;
+	earliestClearAt?: number;
 };
 
 export type CopyReplacement = {
@@ -37,11 +37,15 @@
 	Asks the groups in which another copy may run to confirm that none does; once for each job. `ownPlaces`: where tasks of the job
 	may still run from an earlier submission to this entry.
 	*/
-	ask: (job: EntryJob, ownPlaces: readonly CopyPlace[], now: number) => void;
+	askGroups: (
+		job: EntryJob,
+		ownPlaces: readonly CopyPlace[],
+		now: number,
+	) => void;
 	/** The group has a new holder, or the connection to its holder is back: asks the holder again. */
 	askAgain: (job: EntryJob, group: string, now: number) => void;
 	/** A holder's answer: it runs no other copy of the job. */
-	confirm: (
+	recordConfirmation: (
 		job: EntryJob,
 		holder: string,
 		{message, now}: {message: Replaced; now: number},
@@ -74,7 +78,7 @@
 			copyCheck?.places.get(group),
 			lostHolders.findPlace(group, arrivedAt),
 		);
-		return place && now < place.overAt ? place : undefined;
+		return place && now < place.stoppedBy ? place : undefined;
 	}
 
 	function sendTo(job: EntryJob, group: string, now: number): void {
@@ -90,15 +94,15 @@
 		}
 	}
 
-	function isInReach(group: string, now: number): boolean {
+	function isReachable(group: string, now: number): boolean {
 		const known = groups.findGroup(group);
 		return known !== undefined && !isSilent(known, now);
 	}
 
 	/** Whether a copy that a reachable entry sent out may run at a holder that can't be asked. */
-	function isDoubtful(now: number): boolean {
+	function isRecallNeeded(now: number): boolean {
 		return (
-			recall.hasUnknownHosts() ||
+			recall.hasUnreachableHosts() ||
 			groups
 				.list()
 				.some(
@@ -109,12 +113,12 @@
 	}
 
 	/** Why the group's holder is no longer waited for; undefined: it still is. */
-	function findDefect(
+	function findSkipReason(
 		{copyCheck}: EntryJob,
 		group: string,
 		now: number,
 	): string | undefined {
-		if (!isInReach(group, now)) {
+		if (!isReachable(group, now)) {
 			return 'out of reach';
 		}
 
@@ -131,22 +135,22 @@
 	): CopyObstacle | undefined {
 		const place = findPlace(job, group, now);
 		if (place) {
-			const isReached =
-				isInReach(group, now) && !lostHolders.isLost(group, now);
+			const isHolderReachable =
+				isReachable(group, now) && !lostHolders.isLost(group, now);
 			return {
 				reason: 'another copy may still run',
-				clearAt: isReached ? undefined : place.overAt,
+				earliestClearAt: isHolderReachable ? undefined : place.stoppedBy,
 			};
 		}
 
-		const defect = findDefect(job, group, now);
-		if (defect === undefined) {
+		const skipReason = findSkipReason(job, group, now);
+		if (skipReason === undefined) {
 			return {
 				reason: 'a group does not say whether another copy runs',
 			};
 		}
 
-		if (defect === 'no answer') {
+		if (skipReason === 'no answer') {
 			recall.ask(job);
 		}
 
@@ -159,7 +163,7 @@
 		log('a group does not confirm that no other copy runs', {
 			job: job.request.id,
 			group,
-			reason: defect,
+			reason: skipReason,
 			wasCopyThere: job.copyCheck?.places.has(group),
 			waitedMs: Math.round(now - (job.copyCheck?.askedAt ?? now)),
 		});
@@ -181,16 +185,16 @@
 	}
 
 	return {
-		ask(job, ownPlaces, now) {
+		askGroups(job, ownPlaces, now) {
 			const isChecked = job.copyCheck !== undefined;
-			const isFirst = job.request.requestsBefore === 0;
-			const mayBeCopy = isFirst || ownPlaces.length > 0;
-			if (isChecked || !mayBeCopy) {
+			const isFirstRequest = job.request.requestsBefore === 0;
+			const hasPossibleCopy = isFirstRequest || ownPlaces.length > 0;
+			if (isChecked || !hasPossibleCopy) {
 				return;
 			}
 
 			job.copyCheck = createCopyCheck(now);
-			for (const {state} of isFirst ? groups.list() : []) {
+			for (const {state} of isFirstRequest ? groups.list() : []) {
 				job.copyCheck.groupsToConfirm.add(state.group);
 				sendTo(job, state.group, now);
 			}
@@ -208,7 +212,7 @@
 
 			sendTo(job, group, now);
 		},
-		confirm(job, holder, {message: {formerTokens}, now}) {
+		recordConfirmation(job, holder, {message: {formerTokens}, now}) {
 			for (const group of job.copyCheck?.groupsToConfirm ?? []) {
 				const place = findPlace(job, group, now);
 				const isOutdated =
@@ -229,7 +233,7 @@
 				return undefined;
 			}
 
-			if (isDoubtful(now)) {
+			if (isRecallNeeded(now)) {
 				recall.ask(job);
 			}
 
--- a/packages/scheduling/src/entry-contacts.ts
+++ b/packages/scheduling/src/entry-contacts.ts
@@ -23,22 +23,22 @@
 };
 
 export function createEntryContacts(): EntryContacts {
-	const heardAt = new Map<string, number>();
-	const answered = new Set<string>();
+	const lastMessageAt = new Map<string, number>();
+	const answeredHosts = new Set<string>();
 	return {
 		note({key}, now) {
-			heardAt.set(key, now);
+			lastMessageAt.set(key, now);
 		},
 		markAnswered({key}) {
-			answered.add(parseProcessId(key).host);
+			answeredHosts.add(parseProcessId(key).host);
 		},
-		hasAnswered: (host) => answered.has(host),
+		hasAnswered: (host) => answeredHosts.has(host),
 		takeSilent(now) {
-			const silent = [...heardAt]
+			const silent = [...lastMessageAt]
 				.filter(([, at]) => now - at > entrySilenceMs)
 				.map(([key]) => key);
 			for (const key of silent) {
-				heardAt.delete(key);
+				lastMessageAt.delete(key);
 			}
 
 			return silent;
--- a/packages/scheduling/src/entry-job.ts
+++ b/packages/scheduling/src/entry-job.ts
@@ -40,7 +40,7 @@
 	/** The group that the task was sent to; undefined: it is not placed at present. */
 	group?: string;
 	/** Fencing token of the holder that the task was first sent to in this group. */
-	token?: number;
+	firstToken?: number;
 	isDone: boolean;
 	/** Incremented each time the entry places the task, so that reports about an earlier placement can be told apart. */
 	placement: number;
@@ -60,14 +60,14 @@
 	/** A job expected to end later than this is not admitted. */
 	admitUntil: number;
 	/** After this time an answer is of no use to the caller. */
-	uselessAt: number;
+	usefulUntil: number;
 	/** When the caller stops waiting. */
 	endsAt: number;
 	/**
 	A scheduler admitted the job and returned it only because another group has room, or the job had to wait because no
 	scheduler was reachable. The job is then no longer refused for being late.
 	*/
-	isLetIn: boolean;
+	isAdmitted: boolean;
 	/**
 	By group: the number of the claim under which this entry sent tasks there, until it takes them away. A claim is the entry's
 	permission for the group to run these tasks. The entry renews it by number in each `keep` message and never reuses a number.
@@ -79,7 +79,7 @@
 	Tasks were sent again because their group changed hands, the connection to its holder broke, or the holder no longer had them.
 	A report of a start may have been lost with that, so the entry must not tell the caller that nothing has run.
 	*/
-	isHandedOver: boolean;
+	isResent: boolean;
 	/** When this entry accepted the job, milliseconds since 1970. */
 	takenAtMs: number;
 	/** Progress of the check for other copies of the job; undefined: the job can't have another copy that runs. */
@@ -95,16 +95,16 @@
 */
 const admitFactor = 1.2;
 /** An answer that takes longer than three times the objective is of no use to the caller. */
-const uselessFactor = 3;
+const usefulFactor = 3;
 
 /** The time by which the job must be able to end to be placed. A job that was admitted or started is served even if it will be late. */
-export function getLimit({
-	isLetIn,
+export function getLatestEnd({
+	isAdmitted,
 	isStarted,
 	admitUntil,
-	uselessAt,
+	usefulUntil,
 }: EntryJob): number {
-	return isLetIn || isStarted ? uselessAt : admitUntil;
+	return isAdmitted || isStarted ? usefulUntil : admitUntil;
 }
 
 export function createEntryJob(
@@ -121,12 +121,12 @@
 		takenAtMs,
 		dueAt: now + objectiveMs,
 		admitUntil: now + Math.min(timeLeftMs, admitFactor * objectiveMs),
-		uselessAt: now + Math.min(timeLeftMs, uselessFactor * objectiveMs),
+		usefulUntil: now + Math.min(timeLeftMs, usefulFactor * objectiveMs),
 		endsAt: now + timeLeftMs,
-		isLetIn: false,
+		isAdmitted: false,
 		claims: new Map(),
 		isStarted: false,
-		isHandedOver: false,
+		isResent: false,
 		tasks: Array.from({length: count}, (_, index) => ({
 			index,
 			isDone: false,
--- a/packages/scheduling/src/entry-jobs.test.ts
+++ b/packages/scheduling/src/entry-jobs.test.ts
@@ -456,8 +456,11 @@
 test('a confirmation for an earlier submission of the job does not count', () => {
 	const {entry, groups, clock, listParts} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
-	const leave = entry.submit(makeRequest({requestsBefore: 0}), () => undefined);
-	leave();
+	const disconnect = entry.submit(
+		makeRequest({requestsBefore: 0}),
+		() => undefined,
+	);
+	disconnect();
 	clock.now += 10;
 	entry.submit(makeRequest({requestsBefore: 0}), () => undefined);
 	entry.receive('mieres_m1', makeConfirmation());
@@ -528,14 +531,14 @@
 	const {entry, groups, clock} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	const answers: JobAnswer[] = [];
-	const leave = entry.submit(makeRequest(), () => undefined);
-	const leaveAgain = entry.submit(makeRequest(), (answer) => {
+	const disconnect = entry.submit(makeRequest(), () => undefined);
+	const disconnectSecond = entry.submit(makeRequest(), (answer) => {
 		answers.push(answer);
 	});
-	leave();
+	disconnect();
 	assert.equal(entry.size, 1);
 	assert.deepEqual(answers, []);
-	leaveAgain();
+	disconnectSecond();
 	assert.equal(entry.size, 0);
 });
 
@@ -612,8 +615,8 @@
 	};
 
 	receiveStates();
-	const leave = entry.submit(request, () => undefined);
-	leave();
+	const disconnect = entry.submit(request, () => undefined);
+	disconnect();
 	for (let passed = 0; passed < 1300; passed += 50) {
 		clock.now += 50;
 		receiveStates();
--- a/packages/scheduling/src/entry-jobs.ts
+++ b/packages/scheduling/src/entry-jobs.ts
@@ -27,7 +27,7 @@
 } from './copy-replacement.js';
 import {
 	createEntryJob,
-	getLimit,
+	getLatestEnd,
 	listTasksAt,
 	type EntryJob,
 	type EntryTask,
@@ -49,7 +49,7 @@
 import {isLate} from './rank-jobs.js';
 
 /** Attempts that a lost scheduler may have started without the entry learning of them; a new start is numbered beyond them. */
-const lostAttempts = 16;
+const maxUnreportedAttempts = 16;
 /**
 After this many groups have returned a task as `full`, its job is refused: what is known of the other groups' room is no
 newer than what was known of these.
@@ -59,11 +59,11 @@
 After this long without a reachable scheduler, jobs are refused at once instead of waiting for one. Longer than a takeover
 without the store takes (`holderSilenceMs`, `storelessDelayMs`), and than a start of all hosts.
 */
-const holderlessLimitMs = 2000;
+const noSchedulerTimeoutMs = 2000;
 /** Shortest `retryAfterMs` sent to callers: by then the state of a queue has changed. */
-const leastRetryMs = 1000;
+const minRetryAfterMs = 1000;
 /** Longest `retryAfterMs` sent to callers: a wait of unknown length is no reason to keep a caller away for long. */
-const mostRetryMs = 10_000;
+const maxRetryAfterMs = 10_000;
 
 export type EntryPorts = {
 	/** This process: `<host key>.<incarnation>`. */
@@ -88,19 +88,19 @@
 export class EntryJobs {
 	readonly #ports: EntryPorts;
 	readonly #jobs = new Map<string, EntryJob>();
-	readonly #holders: HolderContacts;
+	readonly #holderContacts: HolderContacts;
 	readonly #lostHolders: LostHolders;
 	readonly #recall: CopyRecall;
 	readonly #replacement: CopyReplacement;
 	/** Jobs with unplaced tasks that wait for a reachable scheduler, or until no other copy of the job runs. */
-	readonly #waiting = new Set<EntryJob>();
+	readonly #waitingJobs = new Set<EntryJob>();
 	#lastClaim = 0;
 	/** When a scheduler was last reachable; initially the start of this host. */
-	#reachedAt: number;
+	#schedulerReachableAt: number;
 
 	constructor(ports: EntryPorts) {
 		this.#ports = ports;
-		this.#holders = createHolderContacts(ports.send);
+		this.#holderContacts = createHolderContacts(ports.send);
 		this.#lostHolders = createLostHolders(ports.groups, ports.now());
 		this.#recall = this.#createRecall();
 		this.#replacement = createCopyReplacement({
@@ -108,11 +108,11 @@
 			recall: this.#recall,
 			lostHolders: this.#lostHolders,
 			send: (holder, message) => {
-				this.#holders.sendReplace(holder, message);
+				this.#holderContacts.sendReplace(holder, message);
 			},
 			log: ports.log,
 		});
-		this.#reachedAt = ports.now();
+		this.#schedulerReachableAt = ports.now();
 	}
 
 	get size(): number {
@@ -142,7 +142,7 @@
 		if (known) {
 			known.waiters.add(onAnswer);
 			return () => {
-				this.#abandon(known, onAnswer);
+				this.#removeWaiter(known, onAnswer);
 			};
 		}
 
@@ -159,7 +159,7 @@
 		}
 
 		return () => {
-			this.#abandon(job, onAnswer);
+			this.#removeWaiter(job, onAnswer);
 		};
 	}
 
@@ -197,7 +197,10 @@
 	receiveClaimsEnded(holder: string, {token, claims}: ClaimsEnded): void {
 		const known = this.#ports.groups
 			.list()
-			.find((one) => one.holder === holder && one.state.token === token);
+			.find(
+				(candidate) =>
+					candidate.holder === holder && candidate.state.token === token,
+			);
 		if (!known) {
 			return;
 		}
@@ -205,7 +208,7 @@
 		const {group} = known.state;
 		for (const job of this.#jobs.values()) {
 			if (claims.includes(job.claims.get(group) ?? -1)) {
-				this.#handOverAnew(job, group);
+				this.#sendUnderNewClaim(job, group);
 			}
 		}
 	}
@@ -224,7 +227,7 @@
 			return;
 		}
 
-		this.#replacement.confirm(job, holder, {
+		this.#replacement.recordConfirmation(job, holder, {
 			message,
 			now: this.#ports.now(),
 		});
@@ -295,14 +298,14 @@
 			this.#replacement.askAgain(job, group, now);
 			const tasks = listTasksAt(job, group);
 			if (tasks.length > 0) {
-				job.isHandedOver = true;
+				job.isResent = true;
 				this.#sendPart(job, group, tasks, true);
 			}
 		}
 
 		const known = this.#ports.groups.findGroup(group);
 		if (known) {
-			this.#holders.sendKeep(known, this.#listClaims(group));
+			this.#holderContacts.sendKeep(known, this.#listClaims(group));
 		}
 	}
 
@@ -312,15 +315,15 @@
 		this.answerState(group);
 	}
 
-	/** The connection to a host's process broke; `heardAt`: when that process was last known to be alive. */
-	markLinkDown(host: string, incarnation: string, heardAt: number): void {
-		this.#lostHolders.markBroken(host, incarnation, heardAt);
+	/** The connection to a host's process broke; `lastAliveAt`: when that process was last known to be alive. */
+	markLinkDown(host: string, incarnation: string, lastAliveAt: number): void {
+		this.#lostHolders.markDisconnected(host, incarnation, lastAliveAt);
 	}
 
 	/** A connection to a host's process was established. */
 	markLinkUp(host: string, incarnation: string): void {
-		this.#lostHolders.markBack(host, incarnation);
-		this.#recall.passUnsent(host);
+		this.#lostHolders.markConnected(host, incarnation);
+		this.#recall.sendPending(host);
 		for (const job of this.#jobs.values()) {
 			this.#recall.askAgain(job, host);
 		}
@@ -328,7 +331,7 @@
 
 	/** The connection to a holder is back: sends again what may have been lost with the last one. */
 	sendAgain(holder: string): void {
-		this.#holders.sendDropsAgain(holder, this.#ports.now());
+		this.#holderContacts.sendDropsAgain(holder, this.#ports.now());
 		for (const {state, holder: current} of this.#ports.groups.list()) {
 			if (current === holder) {
 				this.handOver(state.group);
@@ -338,8 +341,8 @@
 
 	/** Places the jobs that wait for a reachable scheduler; to be called when a holder's state has arrived. */
 	placeWaiting(): void {
-		const waiting = [...this.#waiting];
-		this.#waiting.clear();
+		const waiting = [...this.#waitingJobs];
+		this.#waitingJobs.clear();
 		for (const job of waiting) {
 			this.#placeUnplaced(job);
 		}
@@ -348,13 +351,13 @@
 	/** Renews this entry's claims in the group, once for each state that its holder sends. */
 	answerState(group: string): void {
 		const known = this.#ports.groups.findGroup(group);
-		if (!known || !this.#holders.hasNewState(known)) {
+		if (!known || !this.#holderContacts.hasUnansweredState(known)) {
 			return;
 		}
 
 		const claims = this.#listClaims(group);
-		if (claims.length > 0 || this.#isReplacing()) {
-			this.#holders.sendKeep(known, claims);
+		if (claims.length > 0 || this.#hasReplacingJob()) {
+			this.#holderContacts.sendKeep(known, claims);
 		}
 	}
 
@@ -362,7 +365,7 @@
 	update(): void {
 		const now = this.#ports.now();
 		if (this.#ports.groups.listRooms(now).length > 0) {
-			this.#reachedAt = now;
+			this.#schedulerReachableAt = now;
 		}
 
 		this.placeWaiting();
@@ -372,7 +375,7 @@
 			}
 		}
 
-		this.#holders.forgetOld(now);
+		this.#holderContacts.forgetOld(now);
 		this.#ports.crashes.forgetOld(now);
 		for (const job of this.#jobs.values()) {
 			if (this.#failIfCondemned(job)) {
@@ -382,7 +385,7 @@
 			if (now >= job.endsAt) {
 				this.#giveUp(job, 'no answer in the time that the caller waits');
 			} else {
-				this.#moveLost(job, now);
+				this.#moveLostTasks(job, now);
 			}
 		}
 	}
@@ -404,7 +407,7 @@
 
 	/** Each time this entry accepts the same job, `takenAtMs` is larger than before, even if the wall clock has stepped back. */
 	#chooseTakenAt(id: string): number {
-		const formerAt = this.#holders.findTakenAt(id) ?? -Infinity;
+		const formerAt = this.#holderContacts.findTakenAt(id) ?? -Infinity;
 		return Math.max(this.#ports.readWallClock(), formerAt + 1);
 	}
 
@@ -424,19 +427,19 @@
 			listTokens: () =>
 				groups.list().map(({state: {group, token}}) => [group, token]),
 			findTakenAt: (id) => this.#jobs.get(id)?.takenAtMs,
-			listPlaces: (id) => this.#holders.listPlaces(id, now()),
+			listPlaces: (id) => this.#holderContacts.listPlaces(id, now()),
 			listCrashes: this.#ports.crashes.listOf,
 			log,
 		});
 	}
 
 	#placeIfWaiting(job: EntryJob): void {
-		if (!this.#failIfCondemned(job) && this.#waiting.delete(job)) {
+		if (!this.#failIfCondemned(job) && this.#waitingJobs.delete(job)) {
 			this.#placeUnplaced(job);
 		}
 	}
 
-	#abandon(job: EntryJob, onAnswer: (answer: JobAnswer) => void): void {
+	#removeWaiter(job: EntryJob, onAnswer: (answer: JobAnswer) => void): void {
 		job.waiters.delete(onAnswer);
 		if (job.waiters.size === 0) {
 			this.#answer(job, {type: 'cancelled'});
@@ -468,7 +471,7 @@
 		const task = job.tasks[end.index];
 		const isFromHolder =
 			task?.placement === end.placement &&
-			this.#isCurrent(job, task, holder, message);
+			this.#isFromCurrentHolder(job, task, holder, message);
 		if (!task || task.isDone || (end.outcome !== 'done' && !isFromHolder)) {
 			return;
 		}
@@ -478,7 +481,7 @@
 			case 'done': {
 				task.isDone = true;
 				if (!isFromHolder) {
-					this.#takeAway(job, task);
+					this.#dropClaimIfUnused(job, task);
 				}
 
 				if (end.runMs !== undefined) {
@@ -510,7 +513,7 @@
 	A task was done at a holder that it had been moved away from. The group that it was moved to must not start it or continue
 	running it, so the claim there is dropped once none of the job's other tasks needs it.
 	*/
-	#takeAway(job: EntryJob, {group}: EntryTask): void {
+	#dropClaimIfUnused(job: EntryJob, {group}: EntryTask): void {
 		const known =
 			group === undefined ? undefined : this.#ports.groups.findGroup(group);
 		const claim = group === undefined ? undefined : job.claims.get(group);
@@ -520,7 +523,7 @@
 		}
 
 		job.claims.delete(known.state.group);
-		this.#holders.sendDrop({
+		this.#holderContacts.sendDrop({
 			holder: known.holder,
 			message: {
 				t: 'drop',
@@ -529,12 +532,12 @@
 				claim,
 			},
 			place: undefined,
-			at: this.#ports.now(),
+			sentAt: this.#ports.now(),
 		});
 	}
 
 	/** Whether the message comes from the holder that has the task now, and is about the claim under which it has the task. */
-	#isCurrent(
+	#isFromCurrentHolder(
 		{claims}: EntryJob,
 		{group}: EntryTask,
 		holder: string,
@@ -549,13 +552,16 @@
 		);
 	}
 
-	/** A scheduler returned tasks: places them in another group, unless they can no longer end in time. */
+	/**
+	A scheduler returned tasks: places them elsewhere, unless they can no longer end in time or too many groups were full.
+	`from`: the group that returned them.
+	*/
 	#placeReturned(
 		job: EntryJob,
 		tasks: EntryTask[],
 		{reason, from}: {reason: Ends['reason']; from?: string},
 	): void {
-		job.isLetIn ||= reason === 'elsewhere';
+		job.isAdmitted ||= reason === 'elsewhere';
 		if (reason === 'hopeless') {
 			this.#giveUp(job, 'its tasks can no longer end in time');
 			return;
@@ -572,21 +578,23 @@
 		this.#placeTasks(job, tasks, from);
 	}
 
-	/** Places tasks in groups; `avoided` is a group that has just returned them, and counts as having no free room. */
-	#placeTasks(job: EntryJob, tasks: EntryTask[], avoided?: string): void {
+	/** Places tasks in groups; `avoidedGroup` is a group that has just returned them, and counts as having no free room. */
+	#placeTasks(job: EntryJob, tasks: EntryTask[], avoidedGroup?: string): void {
 		const ports = this.#ports;
 		const now = ports.now();
 		const {queue, demand} = job.request;
 		const rooms = ports.groups
 			.listRooms(now)
-			.map((room) => (room.group === avoided ? {...room, free: []} : room));
+			.map((room) =>
+				room.group === avoidedGroup ? {...room, free: []} : room,
+			);
 		if (rooms.length === 0) {
 			this.#waitForScheduler(job, now);
 			return;
 		}
 
-		const ownPlaces = this.#holders.listPlaces(job.request.id, now);
-		this.#replacement.ask(job, ownPlaces, now);
+		const ownPlaces = this.#holderContacts.listPlaces(job.request.id, now);
+		this.#replacement.askGroups(job, ownPlaces, now);
 		const obstacle = this.#replacement.findObstacle(job, now);
 		if (obstacle) {
 			this.#waitForConfirmation(job, obstacle);
@@ -602,7 +610,7 @@
 			estimateMs: job.estimateMs,
 			isLate: isLate(job, now),
 			home: ports.home,
-			limitMs: getLimit(job) - now,
+			limitMs: getLatestEnd(job) - now,
 		});
 		if (spread.type === 'refused') {
 			ports.log('no group can serve the tasks in time', {
@@ -620,7 +628,7 @@
 		for (const [group, share] of spread.shares) {
 			const part = tasks.slice(next, next + share);
 			next += share;
-			this.#handTo(job, group, part);
+			this.#sendToGroup(job, group, part);
 		}
 	}
 
@@ -630,21 +638,24 @@
 	scheduler accepts a moment later.
 	*/
 	#waitForScheduler(job: EntryJob, now: number): void {
-		const isExpected = now - this.#reachedAt <= holderlessLimitMs;
-		if (!isExpected || now + job.estimateMs >= job.uselessAt) {
+		const isExpected = now - this.#schedulerReachableAt <= noSchedulerTimeoutMs;
+		if (!isExpected || now + job.estimateMs >= job.usefulUntil) {
 			this.#giveUp(job, 'no scheduler is in reach');
 			return;
 		}
 
 		// The job waits because no scheduler is reachable, not for lack of room: it is admitted even if it will be late.
-		job.isLetIn = true;
-		this.#waiting.add(job);
+		job.isAdmitted = true;
+		this.#waitingJobs.add(job);
 	}
 
-	#waitForConfirmation(job: EntryJob, {reason, clearAt}: CopyObstacle): void {
+	#waitForConfirmation(
+		job: EntryJob,
+		{reason, earliestClearAt}: CopyObstacle,
+	): void {
 		const now = this.#ports.now();
-		const startsAt = Math.max(now, clearAt ?? now);
-		if (startsAt + job.estimateMs >= job.uselessAt) {
+		const startsAt = Math.max(now, earliestClearAt ?? now);
+		if (startsAt + job.estimateMs >= job.usefulUntil) {
 			// Another copy may have started tasks, so the caller must not be told that nothing has run.
 			const places = [...(job.copyCheck?.places.values() ?? [])];
 			job.isStarted ||= places.some(({isSure}) => isSure);
@@ -652,7 +663,7 @@
 			return;
 		}
 
-		this.#waiting.add(job);
+		this.#waitingJobs.add(job);
 	}
 
 	/** Extends the job's admission limit by the time that it waited for answers about other copies: that wait says nothing about room. */
@@ -660,12 +671,12 @@
 		const {copyCheck} = job;
 		if (copyCheck?.askedAt !== undefined) {
 			const waitedMs = now - copyCheck.askedAt;
-			job.admitUntil = Math.min(job.uselessAt, job.admitUntil + waitedMs);
+			job.admitUntil = Math.min(job.usefulUntil, job.admitUntil + waitedMs);
 			copyCheck.askedAt = undefined;
 		}
 	}
 
-	#handTo(job: EntryJob, group: string, tasks: EntryTask[]): void {
+	#sendToGroup(job: EntryJob, group: string, tasks: EntryTask[]): void {
 		if (tasks.length === 0) {
 			return;
 		}
@@ -673,15 +684,15 @@
 		const token = this.#ports.groups.findGroup(group)?.state.token;
 		for (const task of tasks) {
 			task.group = group;
-			task.token = token;
+			task.firstToken = token;
 			task.placement += 1;
 		}
 
 		if (listTasksAt(job, group).length === tasks.length) {
-			this.#openClaim(job, group);
+			this.#replaceClaim(job, group);
 		}
 
-		this.#ports.groups.take(group, job.request.demand.cpu, tasks.length);
+		this.#ports.groups.takeRoom(group, job.request.demand.cpu, tasks.length);
 		this.#sendPart(job, group, tasks, false);
 	}
 
@@ -689,22 +700,22 @@
 	Sends the job's tasks in the group again under a new claim. An earlier holder may run them, or the messages may have been
 	lost, so the part is marked as moved: the group's holder first checks for runs before it starts a task.
 	*/
-	#handOverAnew(job: EntryJob, group: string): void {
+	#sendUnderNewClaim(job: EntryJob, group: string): void {
 		const tasks = listTasksAt(job, group);
-		this.#openClaim(job, group);
+		this.#replaceClaim(job, group);
 		for (const task of tasks) {
 			task.placement += 1;
-			task.nextAttempt += lostAttempts;
+			task.nextAttempt += maxUnreportedAttempts;
 		}
 
 		if (tasks.length > 0) {
-			job.isHandedOver = true;
+			job.isResent = true;
 			this.#sendPart(job, group, tasks, true);
 		}
 	}
 
 	/** Replaces the job's claim on the group by a new one: this entry no longer renews the earlier claim. */
-	#openClaim(job: EntryJob, group: string): void {
+	#replaceClaim(job: EntryJob, group: string): void {
 		this.#lastClaim += 1;
 		job.claims.set(group, this.#lastClaim);
 	}
@@ -725,7 +736,7 @@
 		const {holder, state} = known;
 		const crashes = this.#ports.crashes.listOf(job.request.id);
 		const part = makePart(job, tasks, {isMoved, claim, state, now, crashes});
-		this.#holders.sendPart(holder, part);
+		this.#holderContacts.sendPart(holder, part);
 	}
 
 	#findGroupOf(holder: string): string | undefined {
@@ -744,7 +755,7 @@
 	}
 
 	/** Whether this entry replaces other copies of some job. Groups prefer its copy only while they receive messages from this entry. */
-	#isReplacing(): boolean {
+	#hasReplacingJob(): boolean {
 		return [...this.#jobs.values()].some(
 			({copyCheck}) => copyCheck !== undefined,
 		);
@@ -754,14 +765,14 @@
 	Places tasks of a silent holder in other groups once that holder has certainly stopped them. If that would be too late for the
 	caller, the job is given up now rather than when the caller's time is over.
 	*/
-	#moveLost(job: EntryJob, now: number): void {
+	#moveLostTasks(job: EntryJob, now: number): void {
 		const {groups, log} = this.#ports;
 		const lost = findLostTasks(job, groups, now);
 		if (!lost) {
 			return;
 		}
 
-		if (lost.movableAt + job.estimateMs > job.uselessAt) {
+		if (lost.movableAt + job.estimateMs > job.usefulUntil) {
 			this.#giveUp(job, 'its scheduler is silent');
 			return;
 		}
@@ -777,27 +788,30 @@
 		for (const task of lost.tasks) {
 			job.claims.delete(task.group!);
 			task.group = undefined;
-			task.nextAttempt += lostAttempts;
+			task.nextAttempt += maxUnreportedAttempts;
 		}
 
-		// The silent holder may have started some of the tasks, so `refused` would no longer be true.
+		// The silent holder may have started some of the tasks, so the job must no longer be answered as refused.
 		job.isStarted = true;
 		this.#placeTasks(job, lost.tasks);
 	}
 
-	#giveUp(job: EntryJob, reason: string, retryAfterMs = leastRetryMs): void {
+	#giveUp(job: EntryJob, reason: string, retryAfterMs = minRetryAfterMs): void {
 		const type =
-			job.isStarted || this.#isMaybeStarted(job) ? 'given-up' : 'refused';
+			job.isStarted || this.#isPossiblyStarted(job) ? 'given-up' : 'refused';
 		this.#answer(job, {
 			type,
 			reason,
-			retryAfterMs: Math.min(mostRetryMs, Math.max(leastRetryMs, retryAfterMs)),
+			retryAfterMs: Math.min(
+				maxRetryAfterMs,
+				Math.max(minRetryAfterMs, retryAfterMs),
+			),
 		});
 	}
 
 	/** Whether a scheduler may have started a task without its report having arrived. */
-	#isMaybeStarted(job: EntryJob): boolean {
-		return job.isHandedOver || job.tasks.some(({group}) => group !== undefined);
+	#isPossiblyStarted(job: EntryJob): boolean {
+		return job.isResent || job.tasks.some(({group}) => group !== undefined);
 	}
 
 	#answer(job: EntryJob, answer: JobAnswer): void {
@@ -808,17 +822,17 @@
 
 		const now = this.#ports.now();
 		this.#jobs.delete(id);
-		this.#waiting.delete(job);
+		this.#waitingJobs.delete(job);
 		for (const group of this.#listGroupsOf(job)) {
 			const known = this.#ports.groups.findGroup(group);
 			if (known) {
-				this.#holders.sendDrop({
+				this.#holderContacts.sendDrop({
 					holder: known.holder,
 					message: {t: 'drop', job: id, takenAtMs: job.takenAtMs},
 					place:
 						findPlace(job, known, now) ??
 						this.#replacement.findPlace(job, group, now),
-					at: now,
+					sentAt: now,
 				});
 			}
 		}
@@ -852,13 +866,15 @@
 	{state: {group, token}}: KnownGroup,
 	now: number,
 ): CopyPlace | undefined {
-	const firstTokens = listTasksAt(job, group).map((task) => task.token ?? 0);
+	const firstTokens = listTasksAt(job, group).map(
+		(task) => task.firstToken ?? 0,
+	);
 	return firstTokens.length === 0
 		? undefined
 		: {
 				group,
 				tokens: [Math.min(...firstTokens), token],
-				overAt: now + orphanLimitMs + clockSlackMs,
+				stoppedBy: now + orphanLimitMs + clockSlackMs,
 				isSure: true,
 			};
 }
--- a/packages/scheduling/src/group-directory.test.ts
+++ b/packages/scheduling/src/group-directory.test.ts
@@ -49,6 +49,6 @@
 	const late = makeState('mieres', {at: 150, isReleased: true});
 	assert.equal(groups.update('mieres_m1', late, 1000), false);
 	const known = groups.findGroup('mieres');
-	assert.equal(known?.readAt, 0);
+	assert.equal(known?.receivedAt, 0);
 	assert.equal(known.state.isReleased, false);
 });
--- a/packages/scheduling/src/group-directory.ts
+++ b/packages/scheduling/src/group-directory.ts
@@ -14,7 +14,7 @@
 	/** When the holder's last state arrived; set to an earlier time if its connection has broken since. */
 	heardAt: number;
 	/** When this host received the state, which is later than the holder sent it. */
-	readAt: number;
+	receivedAt: number;
 	/** Free thousandths of a core of each executor, less the tasks sent there since the state arrived. */
 	free: number[];
 };
@@ -25,7 +25,7 @@
 	findGroup: (group: string) => KnownGroup | undefined;
 	list: () => KnownGroup[];
 	/** Subtracts tasks sent to a group from its free room, until its next state arrives. */
-	take: (group: string, cpu: number, tasks: number) => void;
+	takeRoom: (group: string, cpu: number, tasks: number) => void;
 	/** Reserves free room for tasks of that size in groups other than `home`; returns for how many tasks. */
 	takeElsewhere: (
 		request: {home: string; cpu: number; tasks: number},
@@ -51,7 +51,7 @@
 Whether the state is from an earlier holder, or was overtaken by a newer state on a newer connection. Should two hosts ever have the
 same token, all hosts regard the same one of them as the holder, and the other gives the group up.
 */
-function isOlder(
+function isOutdated(
 	holder: string,
 	state: GroupState,
 	known: KnownGroup,
@@ -70,7 +70,7 @@
 	const directory: GroupDirectory = {
 		update(holder, state, now) {
 			const known = groups.get(state.group);
-			if (known && isOlder(holder, state, known)) {
+			if (known && isOutdated(holder, state, known)) {
 				return false;
 			}
 
@@ -80,14 +80,14 @@
 				state,
 				holder,
 				heardAt: now,
-				readAt: now,
+				receivedAt: now,
 				free: [...state.free],
 			});
 			return isNew;
 		},
 		findGroup: (group) => groups.get(group),
 		list: () => [...groups.values()],
-		take(group, cpu, tasks) {
+		takeRoom(group, cpu, tasks) {
 			const known = groups.get(group);
 			if (known) {
 				known.free = takeFits(known.free, cpu, tasks);
@@ -98,7 +98,7 @@
 			for (const {group, free} of directory.listRooms(now)) {
 				if (group !== home) {
 					const fits = Math.min(tasks - taken, countFits(free, cpu));
-					directory.take(group, cpu, fits);
+					directory.takeRoom(group, cpu, fits);
 					taken += fits;
 				}
 			}
--- a/packages/scheduling/src/holder-contacts.ts
+++ b/packages/scheduling/src/holder-contacts.ts
@@ -16,7 +16,7 @@
 import {orphanLimitMs} from './timing.js';
 
 /** By then a holder that did not receive the `drop` has stopped the job, or has received it over a new connection. */
-const dropMemoryMs = 2 * orphanLimitMs;
+const dropRetentionMs = 2 * orphanLimitMs;
 
 export type HolderMessage = Part | Replace | Drop | Keep;
 
@@ -26,13 +26,13 @@
 	/** Where tasks of the job may still run in the holder's group; undefined: nowhere. */
 	place: CopyPlace | undefined;
 	/** When it was first sent. */
-	at: number;
+	sentAt: number;
 };
 
 export type HolderContacts = {
 	sendPart: (holder: string, part: Part) => void;
 	/** Whether the group's holder has sent a state that this entry has not answered. */
-	hasNewState: (known: KnownGroup) => boolean;
+	hasUnansweredState: (known: KnownGroup) => boolean;
 	/** Answers the holder's state: this entry wants these claims and no others. */
 	sendKeep: (known: KnownGroup, claims: number[]) => void;
 	sendReplace: (holder: string, message: Replace) => void;
@@ -50,43 +50,46 @@
 	send: (holder: string, message: HolderMessage) => boolean,
 ): HolderContacts {
 	/** Token and time of the state that was answered last, by group. */
-	const answered = new Map<string, {token: number; at: number}>();
-	let dropped: SentDrop[] = [];
+	const lastAnswered = new Map<string, {token: number; at: number}>();
+	let recentDrops: SentDrop[] = [];
 
 	return {
 		sendPart(holder, part) {
 			send(holder, part);
 		},
-		hasNewState({state: {group, token, at}}) {
-			const last = answered.get(group);
+		hasUnansweredState({state: {group, token, at}}) {
+			const last = lastAnswered.get(group);
 			return last?.token !== token || at > last.at;
 		},
 		sendKeep({holder, state: {group, token, at}}, claims) {
-			answered.set(group, {token, at});
+			lastAnswered.set(group, {token, at});
 			send(holder, {t: 'keep', token, stateAt: at, claims});
 		},
 		sendReplace(holder, message) {
 			send(holder, message);
 		},
 		sendDrop(drop) {
-			dropped.push(drop);
+			recentDrops.push(drop);
 			send(drop.holder, drop.message);
 		},
 		findTakenAt: (job) =>
-			dropped.findLast(({message}) => message.job === job)?.message.takenAtMs,
+			recentDrops.findLast(({message}) => message.job === job)?.message
+				.takenAtMs,
 		listPlaces: (job, now) =>
-			dropped.flatMap(({message, place}) =>
-				message.job === job && place && now < place.overAt ? place : [],
+			recentDrops.flatMap(({message, place}) =>
+				message.job === job && place && now < place.stoppedBy ? place : [],
 			),
 		sendDropsAgain(holder, now) {
-			for (const drop of dropped) {
-				if (drop.holder === holder && now - drop.at <= dropMemoryMs) {
+			for (const drop of recentDrops) {
+				if (drop.holder === holder && now - drop.sentAt <= dropRetentionMs) {
 					send(holder, drop.message);
 				}
 			}
 		},
 		forgetOld(now) {
-			dropped = dropped.filter(({at}) => now - at <= dropMemoryMs);
+			recentDrops = recentDrops.filter(
+				({sentAt}) => now - sentAt <= dropRetentionMs,
+			);
 		},
 	};
 }
--- a/packages/scheduling/src/job-copies.ts
+++ b/packages/scheduling/src/job-copies.ts
@@ -50,7 +50,7 @@
 	entry: Entry;
 	takenAtMs: number;
 	/** Until then this copy blocks other copies; this host's steady clock. */
-	endsAt: number;
+	blocksUntil: number;
 	isMoved: boolean;
 	formerTokens: TokenRange | undefined;
 };
@@ -69,9 +69,9 @@
 	/** Jobs whose replacement has yet to be answered. */
 	const unanswered = new Set<string>();
 
-	function find(job: string): Copy | undefined {
+	function findActive(job: string): Copy | undefined {
 		const copy = copies.get(job);
-		return copy && copy.endsAt > now() ? copy : undefined;
+		return copy && copy.blocksUntil > now() ? copy : undefined;
 	}
 
 	function answer(
@@ -90,7 +90,7 @@
 	}
 
 	function answerIfSettled(job: string): void {
-		const copy = find(job);
+		const copy = findActive(job);
 		if (copy && mayRun(job, copy.isMoved)) {
 			return;
 		}
@@ -102,18 +102,18 @@
 	}
 
 	/** The copy blocks others for at most `afterMs` longer: its runs in other groups may take that long to stop. */
-	function endSoon(copy: Copy, afterMs: number): void {
-		copy.endsAt = Math.min(copy.endsAt, now() + afterMs);
+	function endWithin(copy: Copy, afterMs: number): void {
+		copy.blocksUntil = Math.min(copy.blocksUntil, now() + afterMs);
 	}
 
 	return {
 		replace(entry, message, isMoved = false) {
 			const {job, takenAtMs, timeLeftMs, formerTokens} = message;
-			const known = find(job);
+			const known = findActive(job);
 			const copy: Copy = {
 				entry,
 				takenAtMs,
-				endsAt: now() + timeLeftMs,
+				blocksUntil: now() + timeLeftMs,
 				isMoved: isMoved || (known?.isMoved ?? false),
 				formerTokens,
 			};
@@ -128,19 +128,19 @@
 			answerIfSettled(job);
 		},
 		isReplaced(job, entry) {
-			const copy = find(job);
+			const copy = findActive(job);
 			return copy !== undefined && copy.entry.key !== entry.key;
 		},
 		release(job, entry, takenAtMs) {
 			const copy = copies.get(job);
 			if (copy?.entry.key === entry.key && copy.takenAtMs <= takenAtMs) {
-				endSoon(copy, dropStopMs);
+				endWithin(copy, dropStopMs);
 			}
 		},
 		releaseAll(entryKey) {
 			for (const copy of copies.values()) {
 				if (copy.entry.key === entryKey) {
-					endSoon(copy, orphanStopMs);
+					endWithin(copy, orphanStopMs);
 				}
 			}
 		},
@@ -150,8 +150,8 @@
 			}
 		},
 		forgetOld() {
-			for (const [job, {endsAt}] of copies) {
-				if (endsAt <= now()) {
+			for (const [job, {blocksUntil}] of copies) {
+				if (blocksUntil <= now()) {
 					copies.delete(job);
 				}
 			}
--- a/packages/scheduling/src/lost-holders.ts
+++ b/packages/scheduling/src/lost-holders.ts
@@ -11,11 +11,11 @@
 import {clockSlackMs, orphanLimitMs} from './timing.js';
 
 /** By then a caller whose connection broke has repeated its request. */
-const resendLimitMs = 300;
+const callerResendLimitMs = 300;
 /** By then a broken connection is back, if the host is alive and reachable. */
-const redialLimitMs = 100;
+const reconnectLimitMs = 100;
 
-type Loss = {
+type LostProcess = {
 	host: string;
 	incarnation: string;
 	/** When the process was last known to be alive. */
@@ -26,11 +26,11 @@
 
 export type LostHolders = {
 	/** The connection to a host's process broke; `at`: when that process was last known to be alive. */
-	markBroken: (host: string, incarnation: string, at: number) => void;
+	markDisconnected: (host: string, incarnation: string, at: number) => void;
 	/** A connection to the host is back. Only the same process as before knows what it started, so a new process does not clear the loss. */
-	markBack: (host: string, incarnation: string) => void;
+	markConnected: (host: string, incarnation: string) => void;
 	/** Whether the connection to the host is still within the time in which it is normally re-established. */
-	isRedialled: (host: string, now: number) => boolean;
+	isReconnecting: (host: string, now: number) => boolean;
 	/** Whether the connection to the group's holder broke and was not re-established in time. */
 	isLost: (group: string, now: number) => boolean;
 	/** Where lost hosts may have had tasks of a job that arrived here at `arrivedAt`. */
@@ -39,7 +39,7 @@
 	Likewise in groups whose token, as another entry reports it, is later than the one known here: the holder known here can't
 	tell whether a copy runs.
 	*/
-	listOutdated: (
+	listSuperseded: (
 		tokens: ReadonlyArray<[group: string, token: number]>,
 		arrivedAt: number,
 	) => CopyPlace[];
@@ -52,18 +52,18 @@
 	tokens: TokenRange,
 	lostAt: number,
 ): CopyPlace {
-	const overAt = lostAt + orphanLimitMs + clockSlackMs;
-	return {group, tokens, overAt, isSure: false};
+	const stoppedBy = lostAt + orphanLimitMs + clockSlackMs;
+	return {group, tokens, stoppedBy, isSure: false};
 }
 
 export function createLostHolders(
 	groups: GroupDirectory,
 	startedAt: number,
 ): LostHolders {
-	let losses: Loss[] = [];
-	const brokenAt = new Map<string, number>();
+	let lostProcesses: LostProcess[] = [];
+	const disconnectedAt = new Map<string, number>();
 
-	function listUnreached(lostHost: string, at: number): CopyPlace[] {
+	function listUnreachable(lostHost: string, at: number): CopyPlace[] {
 		return groups
 			.list()
 			.filter((known) => known.holder === lostHost || isSilent(known, at))
@@ -71,38 +71,43 @@
 	}
 
 	function listPlaces(arrivedAt: number): CopyPlace[] {
-		return losses.flatMap(({at, places}) =>
-			arrivedAt - at <= resendLimitMs ? places : [],
+		return lostProcesses.flatMap(({at, places}) =>
+			arrivedAt - at <= callerResendLimitMs ? places : [],
 		);
 	}
 
 	return {
-		markBroken(host, incarnation, at) {
-			brokenAt.set(host, at);
-			losses = losses.filter(({places}) =>
-				places.some(({overAt}) => at < overAt),
+		markDisconnected(host, incarnation, at) {
+			disconnectedAt.set(host, at);
+			lostProcesses = lostProcesses.filter(({places}) =>
+				places.some(({stoppedBy}) => at < stoppedBy),
 			);
-			losses.push({host, incarnation, at, places: listUnreached(host, at)});
+			lostProcesses.push({
+				host,
+				incarnation,
+				at,
+				places: listUnreachable(host, at),
+			});
 		},
-		markBack(host, incarnation) {
-			brokenAt.delete(host);
-			losses = losses.filter(
-				(loss) => loss.host !== host || loss.incarnation !== incarnation,
+		markConnected(host, incarnation) {
+			disconnectedAt.delete(host);
+			lostProcesses = lostProcesses.filter(
+				(lost) => lost.host !== host || lost.incarnation !== incarnation,
 			);
 		},
-		isRedialled: (host, now) =>
-			now - (brokenAt.get(host) ?? startedAt) <= redialLimitMs,
+		isReconnecting: (host, now) =>
+			now - (disconnectedAt.get(host) ?? startedAt) <= reconnectLimitMs,
 		isLost(group, now) {
 			const holder = groups.findGroup(group)?.holder;
-			return losses.some(
-				({host, at}) => host === holder && now - at > redialLimitMs,
+			return lostProcesses.some(
+				({host, at}) => host === holder && now - at > reconnectLimitMs,
 			);
 		},
 		listPlaces,
-		listOutdated(tokens, arrivedAt) {
-			const lostAt = losses
+		listSuperseded(tokens, arrivedAt) {
+			const lostAt = lostProcesses
 				.map(({at}) => at)
-				.findLast((at) => arrivedAt - at <= resendLimitMs);
+				.findLast((at) => arrivedAt - at <= callerResendLimitMs);
 			return tokens.flatMap(([group, token]) => {
 				const known = groups.findGroup(group)?.state.token ?? token;
 				return lostAt === undefined || known >= token
--- a/packages/scheduling/src/lost-tasks.ts
+++ b/packages/scheduling/src/lost-tasks.ts
@@ -25,10 +25,10 @@
 	const lost: EntryTask[] = [];
 	let movableAt = now;
 	for (const task of tasks) {
-		const silent = findSilentGroup(task, groups, now);
-		if (silent) {
+		const silentGroup = findSilentGroup(task, groups, now);
+		if (silentGroup) {
 			lost.push(task);
-			const endsAt = silent.readAt + orphanLimitMs + clockSlackMs;
+			const endsAt = silentGroup.receivedAt + orphanLimitMs + clockSlackMs;
 			movableAt = Math.max(movableAt, endsAt);
 		}
 	}
--- a/packages/scheduling/src/make-part.ts
+++ b/packages/scheduling/src/make-part.ts
@@ -6,7 +6,7 @@
 	type Part,
 	type TaskCrashes,
 } from '@gentianshift/protocol';
-import {getLimit, type EntryJob, type EntryTask} from './entry-job.js';
+import {getLatestEnd, type EntryJob, type EntryTask} from './entry-job.js';
 
 export type PartContext = {
 	/** Tasks may run under an earlier holder of the group. */
@@ -40,8 +40,8 @@
 		demand,
 		estimateMs: job.estimateMs,
 		dueInMs: job.dueAt - now,
-		admitInMs: getLimit(job) - now,
-		timeLeftMs: (job.isStarted ? job.endsAt : job.uselessAt) - now,
+		admitInMs: getLatestEnd(job) - now,
+		timeLeftMs: (job.isStarted ? job.endsAt : job.usefulUntil) - now,
 		remaining: job.tasks.filter(({isDone}) => !isDone).length,
 		tasks: tasks.map(({index, nextAttempt, placement}) => [
 			index,
