--- a/packages/scheduling/src/entry-jobs.ts
+++ b/packages/scheduling/src/entry-jobs.ts
@@ -1,9 +1,9 @@
 /**
-The jobs that callers brought to this host: handed to schedulers task by task, followed until
-all tasks are done, and answered at once when they are or when they can't be.
+The jobs that callers submitted to this host, their entry. The entry places each job's tasks in groups, tracks them until all
+are done, and answers the caller as soon as they are, or as soon as it is clear that they can't be in time.
 
-The entry is the one that knows a job. A scheduler that dies, or loses its group, takes nothing
-with it that the entry could not hand to the next one.
+The entry holds the complete state of its jobs. When a scheduler dies or loses its group, the entry sends the tasks to the
+group's next holder.
 */
 import {
 	type ClaimsEnded,
@@ -27,7 +27,7 @@
 } from './copy-replacement.js';
 import {
 	createEntryJob,
-	getLimit,
+	getLatestEnd,
 	listTasksAt,
 	type EntryJob,
 	type EntryTask,
@@ -48,19 +48,22 @@
 import {placeJob} from './place-job.js';
 import {isLate} from './rank-jobs.js';
 
-/** Attempts that a lost scheduler may have used up beyond those that the entry heard of. */
-const lostAttempts = 16;
-/** Groups that may turn a job away before it is refused: what is known of the others' room is as old as what was known of these. */
+/** Attempts that a lost scheduler may have started without the entry learning of them; a new start is numbered beyond them. */
+const maxUnreportedAttempts = 16;
+/**
+After this many groups have returned a task as `full`, its job is refused: what is known of the other groups' room is no
+newer than what was known of these.
+*/
 const maxFullGroups = 2;
 /**
-No scheduler in reach for longer than this: none is expected. Longer than a takeover takes without
-the store (`holderSilenceMs`, `storelessDelayMs`), or a start of all hosts.
+After this long without a reachable scheduler, jobs are refused at once instead of waiting for one. Longer than a takeover
+without the store takes (`holderSilenceMs`, `storelessDelayMs`), and than a start of all hosts.
 */
-const holderlessLimitMs = 2000;
-/** Least time after which a refused caller is asked to come again: a queue's state has changed by then. */
-const leastRetryMs = 1000;
-/** Longest; a wait that can't be told is no reason to keep a caller away for long. */
-const mostRetryMs = 10_000;
+const noSchedulerTimeoutMs = 2000;
+/** Shortest `retryAfterMs` sent to callers: by then the state of a queue has changed. */
+const minRetryAfterMs = 1000;
+/** Longest `retryAfterMs` sent to callers: a wait of unknown length is no reason to keep a caller away for long. */
+const maxRetryAfterMs = 10_000;
 
 export type EntryPorts = {
 	/** This process: `<host key>.<incarnation>`. */
@@ -75,28 +78,29 @@
 	runTimes: RunTimes;
 	/** Shared with the scheduler on the same host. */
 	crashes: CrashRecords;
-	/** Hands a message to a group's holder; false: there is no connection to it. */
+	/** Sends a message to a group's holder; false: there is no connection to it. */
 	send: (holder: string, message: HolderMessage) => boolean;
 	log: (message: string, fields: Record<string, unknown>) => void;
+	/** Called once for each job that ends, when its callers are answered. */
 	onAnswer: (job: EntryJob, answer: JobAnswer, tookMs: number) => void;
 };
 
 export class EntryJobs {
 	readonly #ports: EntryPorts;
 	readonly #jobs = new Map<string, EntryJob>();
-	readonly #holders: HolderContacts;
+	readonly #holderContacts: HolderContacts;
 	readonly #lostHolders: LostHolders;
 	readonly #recall: CopyRecall;
 	readonly #replacement: CopyReplacement;
-	/** Jobs with tasks that wait for a scheduler to be in reach, or for other copies to be over. */
-	readonly #waiting = new Set<EntryJob>();
+	/** Jobs with unplaced tasks that wait for a reachable scheduler, or until no other copy of the job runs. */
+	readonly #waitingJobs = new Set<EntryJob>();
 	#lastClaim = 0;
-	/** When a scheduler was last in reach; at first: when this host started. */
-	#reachedAt: number;
+	/** When a scheduler was last reachable; initially the start of this host. */
+	#schedulerReachableAt: number;
 
 	constructor(ports: EntryPorts) {
 		this.#ports = ports;
-		this.#holders = createHolderContacts(ports.send);
+		this.#holderContacts = createHolderContacts(ports.send);
 		this.#lostHolders = createLostHolders(ports.groups, ports.now());
 		this.#recall = this.#createRecall();
 		this.#replacement = createCopyReplacement({
@@ -104,18 +108,18 @@
 			recall: this.#recall,
 			lostHolders: this.#lostHolders,
 			send: (holder, message) => {
-				this.#holders.sendReplace(holder, message);
+				this.#holderContacts.sendReplace(holder, message);
 			},
 			log: ports.log,
 		});
-		this.#reachedAt = ports.now();
+		this.#schedulerReachableAt = ports.now();
 	}
 
 	get size(): number {
 		return this.#jobs.size;
 	}
 
-	/** Jobs of a queue of which no task has been started. */
+	/** Number of the queue's jobs of which no task has been started. */
 	countPending(queue: string): number {
 		let count = 0;
 		for (const {request, isStarted} of this.#jobs.values()) {
@@ -126,9 +130,9 @@
 	}
 
 	/**
-	Takes a job; `onAnswer` is called once. A job that is here already is joined.
+	Accepts a job; `onAnswer` is called once. If a job with this id is already here, the caller waits for that one.
 
-	Gives what tells that the caller has left: the job is cancelled when nobody else waits for it.
+	Returns a function to call when the caller has disconnected. The job is cancelled once no other caller waits for it.
 	*/
 	submit(
 		request: JobRequest,
@@ -138,7 +142,7 @@
 		if (known) {
 			known.waiters.add(onAnswer);
 			return () => {
-				this.#abandon(known, onAnswer);
+				this.#removeWaiter(known, onAnswer);
 			};
 		}
 
@@ -155,11 +159,11 @@
 		}
 
 		return () => {
-			this.#abandon(job, onAnswer);
+			this.#removeWaiter(job, onAnswer);
 		};
 	}
 
-	/** The caller has cancelled: nothing more is started. */
+	/** Cancels a job at the caller's request: no more of its tasks are started. False: there is no such job here. */
 	cancel(id: string): boolean {
 		const job = this.#jobs.get(id);
 		if (job) {
@@ -169,7 +173,7 @@
 		return job !== undefined;
 	}
 
-	/** What a holder tells this entry. */
+	/** Handles a message from a group's holder. */
 	receive(holder: string, message: Ends | Replaced | ClaimsEnded): void {
 		switch (message.t) {
 			case 'ends': {
@@ -189,11 +193,14 @@
 		}
 	}
 
-	/** A holder has nothing of what this entry waits for there: it is handed over anew. */
+	/** The holder has no tasks under these claims, although this entry still wants them: sends the tasks again. */
 	receiveClaimsEnded(holder: string, {token, claims}: ClaimsEnded): void {
 		const known = this.#ports.groups
 			.list()
-			.find((one) => one.holder === holder && one.state.token === token);
+			.find(
+				(candidate) =>
+					candidate.holder === holder && candidate.state.token === token,
+			);
 		if (!known) {
 			return;
 		}
@@ -201,12 +208,12 @@
 		const {group} = known.state;
 		for (const job of this.#jobs.values()) {
 			if (claims.includes(job.claims.get(group) ?? -1)) {
-				this.#handOverAnew(job, group);
+				this.#sendUnderNewClaim(job, group);
 			}
 		}
 	}
 
-	/** A holder has stopped what it had of other copies of a job, or has a later one. */
+	/** A holder confirms that it runs no other copy of a job, or refuses because another entry has a later copy. */
 	receiveReplaced(holder: string, message: Replaced): void {
 		const {job: id, takenAtMs, isRefused, crashes = []} = message;
 		this.#ports.crashes.learn(crashes, this.#ports.now());
@@ -220,19 +227,19 @@
 			return;
 		}
 
-		this.#replacement.confirm(job, holder, {
+		this.#replacement.recordConfirmation(job, holder, {
 			message,
 			now: this.#ports.now(),
 		});
 		this.#placeIfWaiting(job);
 	}
 
-	/** Another entry asks for this one's copy of a job; `from` is the host that the question came from. */
+	/** Another entry asks this one to give up its copy of a job; `from` is the host that sent or forwarded the message. */
 	receiveRecall(from: string, message: RecallCopy): void {
 		this.#recall.receiveRecall(from, message);
 	}
 
-	/** An entry has given its copy of a job up, or has none, or a later one. */
+	/** An entry's answer to `recall-copy`: it has given up its copy of a job, has none, or has a later one. */
 	receiveRecalled(message: CopyRecalled): void {
 		this.#ports.crashes.learn(message.crashes ?? [], this.#ports.now());
 		const job = this.#jobs.get(message.job);
@@ -252,7 +259,7 @@
 
 	receiveEnds(holder: string, message: Ends): void {
 		const job = this.#jobs.get(message.job);
-		// A host that has just given its group up: the tasks may run, and wait for the next holder.
+		// The sender has just released its group. The tasks may still run, and are claimed by the next holder.
 		if (!job || message.reason === 'released') {
 			return;
 		}
@@ -284,47 +291,47 @@
 		}
 	}
 
-	/** A group has another holder: it is told what this entry has there. */
+	/** The group has a new holder, or the connection to its holder is back: sends the holder all that this entry has in the group. */
 	handOver(group: string): void {
 		const now = this.#ports.now();
 		for (const job of this.#jobs.values()) {
 			this.#replacement.askAgain(job, group, now);
 			const tasks = listTasksAt(job, group);
 			if (tasks.length > 0) {
-				job.isHandedOver = true;
+				job.isResent = true;
 				this.#sendPart(job, group, tasks, true);
 			}
 		}
 
 		const known = this.#ports.groups.findGroup(group);
 		if (known) {
-			this.#holders.sendKeep(known, this.#listClaims(group));
+			this.#holderContacts.sendKeep(known, this.#listClaims(group));
 		}
 	}
 
-	/** A holder has told its state: jobs that wait for a scheduler are placed, and what this entry has there is renewed. */
+	/** To be called when a holder's state has arrived: places waiting jobs and renews this entry's claims in the group. */
 	receiveState(group: string): void {
 		this.placeWaiting();
 		this.answerState(group);
 	}
 
-	/** The connection to a host's process broke; `heardAt`: when that host was last there for sure. */
-	markLinkDown(host: string, incarnation: string, heardAt: number): void {
-		this.#lostHolders.markBroken(host, incarnation, heardAt);
+	/** The connection to a host's process broke; `lastAliveAt`: when that process was last known to be alive. */
+	markLinkDown(host: string, incarnation: string, lastAliveAt: number): void {
+		this.#lostHolders.markDisconnected(host, incarnation, lastAliveAt);
 	}
 
-	/** A connection to a host's process is made. */
+	/** A connection to a host's process was established. */
 	markLinkUp(host: string, incarnation: string): void {
-		this.#lostHolders.markBack(host, incarnation);
-		this.#recall.passUnsent(host);
+		this.#lostHolders.markConnected(host, incarnation);
+		this.#recall.sendPending(host);
 		for (const job of this.#jobs.values()) {
 			this.#recall.askAgain(job, host);
 		}
 	}
 
-	/** A connection to a holder is back: what was sent meanwhile is sent again. */
+	/** The connection to a holder is back: sends again what may have been lost with the last one. */
 	sendAgain(holder: string): void {
-		this.#holders.sendDropsAgain(holder, this.#ports.now());
+		this.#holderContacts.sendDropsAgain(holder, this.#ports.now());
 		for (const {state, holder: current} of this.#ports.groups.list()) {
 			if (current === holder) {
 				this.handOver(state.group);
@@ -332,33 +339,33 @@
 		}
 	}
 
-	/** Places what waits for a scheduler; to be called when one is heard of. */
+	/** Places the jobs that wait for a reachable scheduler; to be called when a holder's state has arrived. */
 	placeWaiting(): void {
-		const waiting = [...this.#waiting];
-		this.#waiting.clear();
+		const waiting = [...this.#waitingJobs];
+		this.#waitingJobs.clear();
 		for (const job of waiting) {
 			this.#placeUnplaced(job);
 		}
 	}
 
-	/** Renews what this entry has at the group; once for each state that its holder tells. */
+	/** Renews this entry's claims in the group, once for each state that its holder sends. */
 	answerState(group: string): void {
 		const known = this.#ports.groups.findGroup(group);
-		if (!known || !this.#holders.hasNewState(known)) {
+		if (!known || !this.#holderContacts.hasUnansweredState(known)) {
 			return;
 		}
 
 		const claims = this.#listClaims(group);
-		if (claims.length > 0 || this.#isReplacing()) {
-			this.#holders.sendKeep(known, claims);
+		if (claims.length > 0 || this.#hasReplacingJob()) {
+			this.#holderContacts.sendKeep(known, claims);
 		}
 	}
 
-	/** What time alone brings about; to be called each 50 ms or so. */
+	/** Handles time-outs, lost tasks and waiting jobs; to be called about every 50 ms. */
 	update(): void {
 		const now = this.#ports.now();
 		if (this.#ports.groups.listRooms(now).length > 0) {
-			this.#reachedAt = now;
+			this.#schedulerReachableAt = now;
 		}
 
 		this.placeWaiting();
@@ -368,7 +375,7 @@
 			}
 		}
 
-		this.#holders.forgetOld(now);
+		this.#holderContacts.forgetOld(now);
 		this.#ports.crashes.forgetOld(now);
 		for (const job of this.#jobs.values()) {
 			if (this.#failIfCondemned(job)) {
@@ -378,12 +385,12 @@
 			if (now >= job.endsAt) {
 				this.#giveUp(job, 'no answer in the time that the caller waits');
 			} else {
-				this.#moveLost(job, now);
+				this.#moveLostTasks(job, now);
 			}
 		}
 	}
 
-	/** Nothing of a job that crashes executors is started again, whoever hands it in. */
+	/** Fails a job under whose tasks too many executors have crashed; no task of it is started again, whoever submits it. */
 	#failIfCondemned(job: EntryJob): boolean {
 		const task = this.#ports.crashes.findCondemned(job.request.id);
 		if (task === undefined) {
@@ -398,9 +405,9 @@
 		return true;
 	}
 
-	/** Each taking of a job by this entry is later than the one before, also where the time of day steps back. */
+	/** Each time this entry accepts the same job, `takenAtMs` is larger than before, even if the wall clock has stepped back. */
 	#chooseTakenAt(id: string): number {
-		const formerAt = this.#holders.findTakenAt(id) ?? -Infinity;
+		const formerAt = this.#holderContacts.findTakenAt(id) ?? -Infinity;
 		return Math.max(this.#ports.readWallClock(), formerAt + 1);
 	}
 
@@ -420,26 +427,26 @@
 			listTokens: () =>
 				groups.list().map(({state: {group, token}}) => [group, token]),
 			findTakenAt: (id) => this.#jobs.get(id)?.takenAtMs,
-			listPlaces: (id) => this.#holders.listPlaces(id, now()),
+			listPlaces: (id) => this.#holderContacts.listPlaces(id, now()),
 			listCrashes: this.#ports.crashes.listOf,
 			log,
 		});
 	}
 
 	#placeIfWaiting(job: EntryJob): void {
-		if (!this.#failIfCondemned(job) && this.#waiting.delete(job)) {
+		if (!this.#failIfCondemned(job) && this.#waitingJobs.delete(job)) {
 			this.#placeUnplaced(job);
 		}
 	}
 
-	#abandon(job: EntryJob, onAnswer: (answer: JobAnswer) => void): void {
+	#removeWaiter(job: EntryJob, onAnswer: (answer: JobAnswer) => void): void {
 		job.waiters.delete(onAnswer);
 		if (job.waiters.size === 0) {
 			this.#answer(job, {type: 'cancelled'});
 		}
 	}
 
-	/** The caller has sent the job elsewhere since; nobody reads the answer given here. */
+	/** The caller has since sent the job to another entry, so nobody reads the answer given here. */
 	#giveUpReplaced(job: EntryJob): void {
 		job.isStarted = true;
 		this.#giveUp(job, 'another host has a later copy');
@@ -464,7 +471,7 @@
 		const task = job.tasks[end.index];
 		const isFromHolder =
 			task?.placement === end.placement &&
-			this.#isCurrent(job, task, holder, message);
+			this.#isFromCurrentHolder(job, task, holder, message);
 		if (!task || task.isDone || (end.outcome !== 'done' && !isFromHolder)) {
 			return;
 		}
@@ -474,7 +481,7 @@
 			case 'done': {
 				task.isDone = true;
 				if (!isFromHolder) {
-					this.#takeAway(job, task);
+					this.#dropClaimIfUnused(job, task);
 				}
 
 				if (end.runMs !== undefined) {
@@ -502,8 +509,11 @@
 		}
 	}
 
-	/** A task that has ended elsewhere is not to be started, or to run on, where it was moved to. */
-	#takeAway(job: EntryJob, {group}: EntryTask): void {
+	/**
+	A task was done at a holder that it had been moved away from. The group that it was moved to must not start it or continue
+	running it, so the claim there is dropped once none of the job's other tasks needs it.
+	*/
+	#dropClaimIfUnused(job: EntryJob, {group}: EntryTask): void {
 		const known =
 			group === undefined ? undefined : this.#ports.groups.findGroup(group);
 		const claim = group === undefined ? undefined : job.claims.get(group);
@@ -513,7 +523,7 @@
 		}
 
 		job.claims.delete(known.state.group);
-		this.#holders.sendDrop({
+		this.#holderContacts.sendDrop({
 			holder: known.holder,
 			message: {
 				t: 'drop',
@@ -522,12 +532,12 @@
 				claim,
 			},
 			place: undefined,
-			at: this.#ports.now(),
+			sentAt: this.#ports.now(),
 		});
 	}
 
-	/** The word is of the holder that has the task now, and of the claim under which it has it. */
-	#isCurrent(
+	/** Whether the message comes from the holder that has the task now, and is about the claim under which it has the task. */
+	#isFromCurrentHolder(
 		{claims}: EntryJob,
 		{group}: EntryTask,
 		holder: string,
@@ -542,13 +552,16 @@
 		);
 	}
 
-	/** A scheduler gave tasks back: they are tried elsewhere, while that is of use. */
+	/**
+	A scheduler returned tasks: places them elsewhere, unless they can no longer end in time or too many groups were full.
+	`from`: the group that returned them.
+	*/
 	#placeReturned(
 		job: EntryJob,
 		tasks: EntryTask[],
 		{reason, from}: {reason: Ends['reason']; from?: string},
 	): void {
-		job.isLetIn ||= reason === 'elsewhere';
+		job.isAdmitted ||= reason === 'elsewhere';
 		if (reason === 'hopeless') {
 			this.#giveUp(job, 'its tasks can no longer end in time');
 			return;
@@ -565,21 +578,23 @@
 		this.#placeTasks(job, tasks, from);
 	}
 
-	/** Places tasks; `avoided` is a group that has just found no room for them. */
-	#placeTasks(job: EntryJob, tasks: EntryTask[], avoided?: string): void {
+	/** Places tasks in groups; `avoidedGroup` is a group that has just returned them, and counts as having no free room. */
+	#placeTasks(job: EntryJob, tasks: EntryTask[], avoidedGroup?: string): void {
 		const ports = this.#ports;
 		const now = ports.now();
 		const {queue, demand} = job.request;
 		const rooms = ports.groups
 			.listRooms(now)
-			.map((room) => (room.group === avoided ? {...room, free: []} : room));
+			.map((room) =>
+				room.group === avoidedGroup ? {...room, free: []} : room,
+			);
 		if (rooms.length === 0) {
 			this.#waitForScheduler(job, now);
 			return;
 		}
 
-		const ownPlaces = this.#holders.listPlaces(job.request.id, now);
-		this.#replacement.ask(job, ownPlaces, now);
+		const ownPlaces = this.#holderContacts.listPlaces(job.request.id, now);
+		this.#replacement.askGroups(job, ownPlaces, now);
 		const obstacle = this.#replacement.findObstacle(job, now);
 		if (obstacle) {
 			this.#waitForConfirmation(job, obstacle);
@@ -595,7 +610,7 @@
 			estimateMs: job.estimateMs,
 			isLate: isLate(job, now),
 			home: ports.home,
-			limitMs: getLimit(job) - now,
+			limitMs: getLatestEnd(job) - now,
 		});
 		if (spread.type === 'refused') {
 			ports.log('no group can serve the tasks in time', {
@@ -613,52 +628,55 @@
 		for (const [group, share] of spread.shares) {
 			const part = tasks.slice(next, next + share);
 			next += share;
-			this.#handTo(job, group, part);
+			this.#sendToGroup(job, group, part);
 		}
 	}
 
 	/**
-	After all hosts lost power, or while this one was paused, no scheduler is known for some tenths
-	of a second. Refused then, a hundred jobs a second are lost that a scheduler would take
-	a moment later; so they wait for it while their answer would still be of use.
+	After all hosts lost power, or while this host was paused, no scheduler is known for some tenths of a second. Jobs that arrive
+	then, about a hundred a second, wait as long as their answer would still be of use. Refusing them would lose jobs that a
+	scheduler accepts a moment later.
 	*/
 	#waitForScheduler(job: EntryJob, now: number): void {
-		const isExpected = now - this.#reachedAt <= holderlessLimitMs;
-		if (!isExpected || now + job.estimateMs >= job.uselessAt) {
+		const isExpected = now - this.#schedulerReachableAt <= noSchedulerTimeoutMs;
+		if (!isExpected || now + job.estimateMs >= job.usefulUntil) {
 			this.#giveUp(job, 'no scheduler is in reach');
 			return;
 		}
 
-		// It has waited for want of a scheduler, not of room: it is let in also if it will be late.
-		job.isLetIn = true;
-		this.#waiting.add(job);
+		// The job waits because no scheduler is reachable, not for lack of room: it is admitted even if it will be late.
+		job.isAdmitted = true;
+		this.#waitingJobs.add(job);
 	}
 
-	#waitForConfirmation(job: EntryJob, {reason, clearAt}: CopyObstacle): void {
+	#waitForConfirmation(
+		job: EntryJob,
+		{reason, earliestClearAt}: CopyObstacle,
+	): void {
 		const now = this.#ports.now();
-		const startsAt = Math.max(now, clearAt ?? now);
-		if (startsAt + job.estimateMs >= job.uselessAt) {
-			// Where another copy has been started, that nothing ran would not be true.
+		const startsAt = Math.max(now, earliestClearAt ?? now);
+		if (startsAt + job.estimateMs >= job.usefulUntil) {
+			// Another copy may have started tasks, so the caller must not be told that nothing has run.
 			const places = [...(job.copyCheck?.places.values() ?? [])];
 			job.isStarted ||= places.some(({isSure}) => isSure);
 			this.#giveUp(job, reason, startsAt - now);
 			return;
 		}
 
-		this.#waiting.add(job);
+		this.#waitingJobs.add(job);
 	}
 
-	/** A job that has waited for want of an answer, not of room, is let in as much later, and judged like others otherwise. */
+	/** Extends the job's admission limit by the time that it waited for answers about other copies: that wait says nothing about room. */
 	#extendAdmission(job: EntryJob, now: number): void {
 		const {copyCheck} = job;
 		if (copyCheck?.askedAt !== undefined) {
 			const waitedMs = now - copyCheck.askedAt;
-			job.admitUntil = Math.min(job.uselessAt, job.admitUntil + waitedMs);
+			job.admitUntil = Math.min(job.usefulUntil, job.admitUntil + waitedMs);
 			copyCheck.askedAt = undefined;
 		}
 	}
 
-	#handTo(job: EntryJob, group: string, tasks: EntryTask[]): void {
+	#sendToGroup(job: EntryJob, group: string, tasks: EntryTask[]): void {
 		if (tasks.length === 0) {
 			return;
 		}
@@ -666,35 +684,38 @@
 		const token = this.#ports.groups.findGroup(group)?.state.token;
 		for (const task of tasks) {
 			task.group = group;
-			task.token = token;
+			task.firstToken = token;
 			task.placement += 1;
 		}
 
 		if (listTasksAt(job, group).length === tasks.length) {
-			this.#openClaim(job, group);
+			this.#replaceClaim(job, group);
 		}
 
-		this.#ports.groups.take(group, job.request.demand.cpu, tasks.length);
+		this.#ports.groups.takeRoom(group, job.request.demand.cpu, tasks.length);
 		this.#sendPart(job, group, tasks, false);
 	}
 
-	/** What was there may have been lost on the way, or an earlier holder may run it: the group looks before it starts anything. */
-	#handOverAnew(job: EntryJob, group: string): void {
+	/**
+	Sends the job's tasks in the group again under a new claim. An earlier holder may run them, or the messages may have been
+	lost, so the part is marked as moved: the group's holder first checks for runs before it starts a task.
+	*/
+	#sendUnderNewClaim(job: EntryJob, group: string): void {
 		const tasks = listTasksAt(job, group);
-		this.#openClaim(job, group);
+		this.#replaceClaim(job, group);
 		for (const task of tasks) {
 			task.placement += 1;
-			task.nextAttempt += lostAttempts;
+			task.nextAttempt += maxUnreportedAttempts;
 		}
 
 		if (tasks.length > 0) {
-			job.isHandedOver = true;
+			job.isResent = true;
 			this.#sendPart(job, group, tasks, true);
 		}
 	}
 
-	/** Nothing of an earlier claim of the job on the group is wanted any more. */
-	#openClaim(job: EntryJob, group: string): void {
+	/** Replaces the job's claim on the group by a new one: this entry no longer renews the earlier claim. */
+	#replaceClaim(job: EntryJob, group: string): void {
 		this.#lastClaim += 1;
 		job.claims.set(group, this.#lastClaim);
 	}
@@ -715,7 +736,7 @@
 		const {holder, state} = known;
 		const crashes = this.#ports.crashes.listOf(job.request.id);
 		const part = makePart(job, tasks, {isMoved, claim, state, now, crashes});
-		this.#holders.sendPart(holder, part);
+		this.#holderContacts.sendPart(holder, part);
 	}
 
 	#findGroupOf(holder: string): string | undefined {
@@ -723,7 +744,7 @@
 			?.state.group;
 	}
 
-	/** Under which the group has tasks that this entry still wants. */
+	/** The claims under which the group has tasks that this entry still wants. */
 	#listClaims(group: string): number[] {
 		return [...this.#jobs.values()].flatMap((job) => {
 			const claim = job.claims.get(group);
@@ -733,25 +754,25 @@
 		});
 	}
 
-	/** All groups know of a job that this entry's copy is the one that counts, while they hear this entry. */
-	#isReplacing(): boolean {
+	/** Whether this entry replaces other copies of some job. Groups prefer its copy only while they receive messages from this entry. */
+	#hasReplacingJob(): boolean {
 		return [...this.#jobs.values()].some(
 			({copyCheck}) => copyCheck !== undefined,
 		);
 	}
 
 	/**
-	Tasks of a group whose holder is silent are placed elsewhere once it has stopped them. Where that
-	would be too late for the caller, it is told now rather than at the end of its time.
+	Places tasks of a silent holder in other groups once that holder has certainly stopped them. If that would be too late for the
+	caller, the job is given up now rather than when the caller's time is over.
 	*/
-	#moveLost(job: EntryJob, now: number): void {
+	#moveLostTasks(job: EntryJob, now: number): void {
 		const {groups, log} = this.#ports;
 		const lost = findLostTasks(job, groups, now);
 		if (!lost) {
 			return;
 		}
 
-		if (lost.movableAt + job.estimateMs > job.uselessAt) {
+		if (lost.movableAt + job.estimateMs > job.usefulUntil) {
 			this.#giveUp(job, 'its scheduler is silent');
 			return;
 		}
@@ -760,34 +781,37 @@
 			return;
 		}
 
-		log('scheduler is silent: placing its tasks anew', {
+		log('scheduler is silent: placing its tasks in other groups', {
 			job: job.request.id,
 			tasks: lost.tasks.length,
 		});
 		for (const task of lost.tasks) {
 			job.claims.delete(task.group!);
 			task.group = undefined;
-			task.nextAttempt += lostAttempts;
+			task.nextAttempt += maxUnreportedAttempts;
 		}
 
-		// It may have started some: a refusal would not be true any more.
+		// The silent holder may have started some of the tasks, so the job must no longer be answered as refused.
 		job.isStarted = true;
 		this.#placeTasks(job, lost.tasks);
 	}
 
-	#giveUp(job: EntryJob, reason: string, retryAfterMs = leastRetryMs): void {
+	#giveUp(job: EntryJob, reason: string, retryAfterMs = minRetryAfterMs): void {
 		const type =
-			job.isStarted || this.#isMaybeStarted(job) ? 'given-up' : 'refused';
+			job.isStarted || this.#isPossiblyStarted(job) ? 'given-up' : 'refused';
 		this.#answer(job, {
 			type,
 			reason,
-			retryAfterMs: Math.min(mostRetryMs, Math.max(leastRetryMs, retryAfterMs)),
+			retryAfterMs: Math.min(
+				maxRetryAfterMs,
+				Math.max(minRetryAfterMs, retryAfterMs),
+			),
 		});
 	}
 
-	/** A scheduler may have started a task whose word is still on its way. */
-	#isMaybeStarted(job: EntryJob): boolean {
-		return job.isHandedOver || job.tasks.some(({group}) => group !== undefined);
+	/** Whether a scheduler may have started a task without its report having arrived. */
+	#isPossiblyStarted(job: EntryJob): boolean {
+		return job.isResent || job.tasks.some(({group}) => group !== undefined);
 	}
 
 	#answer(job: EntryJob, answer: JobAnswer): void {
@@ -798,17 +822,17 @@
 
 		const now = this.#ports.now();
 		this.#jobs.delete(id);
-		this.#waiting.delete(job);
+		this.#waitingJobs.delete(job);
 		for (const group of this.#listGroupsOf(job)) {
 			const known = this.#ports.groups.findGroup(group);
 			if (known) {
-				this.#holders.sendDrop({
+				this.#holderContacts.sendDrop({
 					holder: known.holder,
 					message: {t: 'drop', job: id, takenAtMs: job.takenAtMs},
 					place:
 						findPlace(job, known, now) ??
 						this.#replacement.findPlace(job, group, now),
-					at: now,
+					sentAt: now,
 				});
 			}
 		}
@@ -819,7 +843,7 @@
 		}
 	}
 
-	/** Groups that keep something of the job: tasks, or that this entry's copy is the one that counts. */
+	/** Groups that hold state of the job: tasks, or a record that this entry's copy replaces others. */
 	#listGroupsOf(job: EntryJob): Set<string> {
 		const groups = new Set(
 			job.copyCheck
@@ -836,19 +860,21 @@
 	}
 }
 
-/** The group has tasks of the job, which are stopped; undefined: it has none. */
+/** Where tasks of a job that is being dropped may still run in this group; undefined: the group has none. */
 function findPlace(
 	job: EntryJob,
 	{state: {group, token}}: KnownGroup,
 	now: number,
 ): CopyPlace | undefined {
-	const firstTokens = listTasksAt(job, group).map((task) => task.token ?? 0);
+	const firstTokens = listTasksAt(job, group).map(
+		(task) => task.firstToken ?? 0,
+	);
 	return firstTokens.length === 0
 		? undefined
 		: {
 				group,
 				tokens: [Math.min(...firstTokens), token],
-				overAt: now + orphanLimitMs + clockSlackMs,
+				stoppedBy: now + orphanLimitMs + clockSlackMs,
 				isSure: true,
 			};
 }
--- a/packages/scheduling/src/make-part.ts
+++ b/packages/scheduling/src/make-part.ts
@@ -1,21 +1,21 @@
 /**
-What an entry tells a scheduler of a job whose tasks it hands over.
+Builds the `part` message, by which an entry sends tasks of a job to a scheduler.
 */
 import {
 	type GroupState,
 	type Part,
 	type TaskCrashes,
 } from '@gentianshift/protocol';
-import {getLimit, type EntryJob, type EntryTask} from './entry-job.js';
+import {getLatestEnd, type EntryJob, type EntryTask} from './entry-job.js';
 
 export type PartContext = {
 	/** Tasks may run under an earlier holder of the group. */
 	isMoved: boolean;
 	claim: number;
-	/** The newest state of the group that this entry has read. */
+	/** The newest state of the group that this entry has received. */
 	state: GroupState;
 	now: number;
-	/** Executors that crashed under its tasks. */
+	/** Executors that crashed under the job's tasks; undefined: none is known. */
 	crashes: TaskCrashes[] | undefined;
 };
 
@@ -40,8 +40,8 @@
 		demand,
 		estimateMs: job.estimateMs,
 		dueInMs: job.dueAt - now,
-		admitInMs: getLimit(job) - now,
-		timeLeftMs: (job.isStarted ? job.endsAt : job.uselessAt) - now,
+		admitInMs: getLatestEnd(job) - now,
+		timeLeftMs: (job.isStarted ? job.endsAt : job.usefulUntil) - now,
 		remaining: job.tasks.filter(({isDone}) => !isDone).length,
 		tasks: tasks.map(({index, nextAttempt, placement}) => [
 			index,
