--- a/packages/host/src/scheduling/executor-lists.test.ts
+++ b/packages/host/src/scheduling/executor-lists.test.ts
@@ -61,7 +61,7 @@
 	lists.start(ending.signal);
 	return {
 		async read() {
-			await lists.readNow();
+			await lists.refresh();
 			return lists.list().map(({id}) => id);
 		},
 		isComplete: () => lists.isComplete(),
@@ -140,7 +140,7 @@
 		isHolder: () => false,
 	});
 	lists.start(ending.signal);
-	const reading = lists.readNow();
+	const reading = lists.refresh();
 	answers[1]!([makeExecutor('e1'), makeExecutor('e2')]);
 	await reading;
 	assert.ok(lists.isFresh());
@@ -173,7 +173,7 @@
 	await nextTurn();
 	assert.deepEqual(seen, [true]);
 	assert.equal(lists.isFresh(), false);
-	await lists.readNow();
+	await lists.refresh();
 	assert.deepEqual(seen, [true, false]);
 	assert.ok(lists.isFresh());
 	ending.abort();
@@ -197,8 +197,8 @@
 			logged.push(message);
 		},
 	});
-	await lists.readNow();
-	await lists.readNow();
+	await lists.refresh();
+	await lists.refresh();
 	assert.deepEqual(
 		lists.list().map(({id}) => id),
 		['e1'],
@@ -225,7 +225,7 @@
 	});
 	const read = async () => {
 		now += 1000;
-		await lists.readNow();
+		await lists.refresh();
 		return lists.list().map(({capacity, saidAt}) => [capacity.cpu, saidAt]);
 	};
 
@@ -256,7 +256,7 @@
 		now: () => now,
 	});
 	const read = async () => {
-		await lists.readNow();
+		await lists.refresh();
 		return lists.list().map(({capacity}) => capacity.cpu);
 	};
 
@@ -280,7 +280,7 @@
 	];
 	const lists = makeLists({source: {list: () => okAsync(listed)}});
 	const read = async () => {
-		await lists.readNow();
+		await lists.refresh();
 		return lists
 			.list()
 			.map(({id, capacity, isDraining}) => [id, capacity.cpu, isDraining]);
@@ -308,13 +308,13 @@
 		source: {list: () => okAsync([{...makeExecutor('e1'), sequence: 1}])},
 		isGuardedService: () => isGuarded,
 	});
-	await lists.readNow();
+	await lists.refresh();
 	assert.deepEqual(
 		lists.list().map((executor) => executor.isGuarded),
 		[false],
 	);
 	isGuarded = true;
-	await lists.readNow();
+	await lists.refresh();
 	assert.deepEqual(
 		lists.list().map((executor) => executor.isGuarded),
 		[true],
--- a/packages/host/src/scheduling/executor-lists.ts
+++ b/packages/host/src/scheduling/executor-lists.ts
@@ -12,20 +12,20 @@
 A watch of the store would not help: every heartbeat of every executor would trigger it.
 */
 import {type Executor} from '@gentianshift/scheduling';
-import {createExecutorWords} from './executor-words.js';
+import {createExecutorRegistrations} from './executor-registrations.js';
 import {type ExecutorSource} from './surroundings.js';
 
 /** A third of the two seconds within which the holder must know of a draining executor. */
-const holderEveryMs = 600;
+const holderReadIntervalMs = 600;
 /** The list of other hosts may be this old when they take over, and is then read again at once. */
-const standbyEveryMs = 3000;
+const standbyReadIntervalMs = 3000;
 /**
-How long a host that takes a group over reads like a holder: the part of a takeover that the store's
-calls take.
+How long a host that takes a group over accepts no stale lists, like a holder: as long as the calls
+to the store in a takeover may take.
 */
-const takeoverMs = 2000;
+const takeoverReadsMs = 2000;
 /** Pause after a read that failed. */
-const retryMs = 250;
+const retryPauseMs = 250;
 
 /**
 Registrations that expired while the store was unavailable are back within two seconds of its
@@ -50,7 +50,7 @@
 	Reads a list now that is not stale, for a host that takes a group over. Resolves also when the
 	read fails.
 	*/
-	readNow: () => Promise<void>;
+	refresh: () => Promise<void>;
 };
 
 export function createExecutorLists({
@@ -80,59 +80,61 @@
 	log: (message: string, fields: Record<string, unknown>) => void;
 }): ExecutorLists {
 	let executors: readonly Executor[] = [];
-	const words = createExecutorWords(isGuardedService);
-	let wake = new AbortController();
+	const registrations = createExecutorRegistrations(isGuardedService);
+	let pauseController = new AbortController();
 	/** When a list first lacked an executor that is still kept. */
 	const missingSince = new Map<string, number>();
 	/**
 	Executors in the last list whose service the configuration does not name; each is logged once.
 	*/
-	let strangerIds: ReadonlySet<string> = new Set();
+	let ignoredIds: ReadonlySet<string> = new Set();
 	/** Since when no read has failed; undefined: the last read failed, or there was none yet. */
-	let readSince: number | undefined;
+	let readsSucceedSince: number | undefined;
 	let isFresh = false;
-	/** Until this time the host reads as often and as freshly as a holder. */
-	let takesOverUntil = -Infinity;
+	/** Until this time the host accepts no stale lists, like a holder. */
+	let takeoverReadsUntil = -Infinity;
 	/**
 	Reads are numbered, so that the answer to an older read that arrives after a newer one is
 	discarded.
 	*/
-	let begun = 0;
-	let taken = 0;
+	let lastStartedRead = 0;
+	let lastHandledRead = 0;
 
 	async function read(): Promise<boolean> {
-		const mayBeStale = !isHolder() && now() >= takesOverUntil;
-		begun += 1;
-		const number = begun;
+		const mayBeStale = !isHolder() && now() >= takeoverReadsUntil;
+		lastStartedRead += 1;
+		const readNumber = lastStartedRead;
 		const askedAt = now();
-		const found = await source.list({mayBeStale});
-		if (number < taken) {
+		const result = await source.list({mayBeStale});
+		if (readNumber < lastHandledRead) {
 			return true;
 		}
 
-		taken = number;
-		if (found.isErr()) {
-			readSince = undefined;
+		lastHandledRead = readNumber;
+		if (result.isErr()) {
+			readsSucceedSince = undefined;
 			isFresh = false;
 			log('executors can not be listed', {
-				code: found.error.code,
-				reason: found.error.message,
+				code: result.error.code,
+				reason: result.error.message,
 			});
 			return false;
 		}
 
-		readSince ??= now();
+		readsSucceedSince ??= now();
 		isFresh = !mayBeStale;
-		executors = keepMissing(pickNamed(words.take(found.value, askedAt)));
-		words.keepOnly(executors);
+		executors = keepRecentlyMissing(
+			pickKnownServices(registrations.applyList(result.value, askedAt)),
+		);
+		registrations.keepOnly(executors);
 		onList(executors);
 		return true;
 	}
 
-	function pickNamed(listed: readonly Executor[]): Executor[] {
-		const strangers = listed.filter(({service}) => !isNamedService(service));
-		for (const {id, service} of strangers) {
-			if (!strangerIds.has(id)) {
+	function pickKnownServices(listed: readonly Executor[]): Executor[] {
+		const ignored = listed.filter(({service}) => !isNamedService(service));
+		for (const {id, service} of ignored) {
+			if (!ignoredIds.has(id)) {
 				log('executor ignored: the configuration does not name its service', {
 					executor: id,
 					service,
@@ -140,12 +142,14 @@
 			}
 		}
 
-		strangerIds = new Set(strangers.map(({id}) => id));
-		return listed.filter(({id}) => !strangerIds.has(id));
+		ignoredIds = new Set(ignored.map(({id}) => id));
+		return listed.filter(({id}) => !ignoredIds.has(id));
 	}
 
 	/** The listed executors, and those that lists have lacked for less than `missingLimitMs`. */
-	function keepMissing(listed: readonly Executor[]): readonly Executor[] {
+	function keepRecentlyMissing(
+		listed: readonly Executor[],
+	): readonly Executor[] {
 		const ids = new Set(listed.map(({id}) => id));
 		const at = now();
 		const missing = executors.filter(({id}) => !ids.has(id));
@@ -161,9 +165,12 @@
 			const isKept = at - since < missingLimitMs;
 			if (!isKept) {
 				missingSince.delete(id);
-				log('executor removed: its registration is missing for too long', {
-					executor: id,
-				});
+				log(
+					'executor removed: its registration has been missing for too long',
+					{
+						executor: id,
+					},
+				);
 			}
 
 			return isKept;
@@ -174,27 +181,31 @@
 	async function repeatReads(signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
 			const isRead = await read();
-			const everyMs = isHolder() ? holderEveryMs : standbyEveryMs;
-			const pauseMs = (isRead ? everyMs : retryMs) * (0.75 + random() / 2);
-			wake = new AbortController();
-			await wait(pauseMs, AbortSignal.any([signal, wake.signal]));
+			const intervalMs = isHolder()
+				? holderReadIntervalMs
+				: standbyReadIntervalMs;
+			const pauseMs =
+				(isRead ? intervalMs : retryPauseMs) * (0.75 + random() / 2);
+			pauseController = new AbortController();
+			await wait(pauseMs, AbortSignal.any([signal, pauseController.signal]));
 		}
 	}
 
 	return {
 		list: () => executors,
 		isComplete: () =>
-			readSince !== undefined && now() - readSince >= missingLimitMs,
+			readsSucceedSince !== undefined &&
+			now() - readsSucceedSince >= missingLimitMs,
 		isFresh: () => isFresh,
 		start(signal) {
 			void repeatReads(signal);
 		},
-		async readNow() {
-			takesOverUntil = now() + takeoverMs;
+		async refresh() {
+			takeoverReadsUntil = now() + takeoverReadsMs;
 			await read();
 			// The current pause is that of a host that does not hold the group, too long for a
 			// holder.
-			wake.abort();
+			pauseController.abort();
 		},
 	};
 }
--- a/packages/host/src/scheduling/executor-words.ts
+++ b/packages/host/src/scheduling/executor-registrations.ts
@@ -12,21 +12,24 @@
 An executor that has sent a higher sequence number before, and still sends lower ones after this
 long, has started its numbering again.
 */
-const renumberedMs = 2500;
+const renumberingMs = 2500;
 
-type Known = Pick<ExecutorWord, 'sequence' | 'revision'> & {
+type KnownRegistration = Pick<ExecutorWord, 'sequence' | 'revision'> & {
 	executor: Executor;
 	/** Since when lists have brought a lower sequence number than the highest. */
-	lowerSince?: number;
+	lowerSequenceSince?: number;
 };
 
-export type ExecutorWords = {
+export type ExecutorRegistrations = {
 	/**
 	Returns the listed executors, each by its newest registration, without those that have never
 	registered a capacity that can be used. `askedAt`: when the list was requested, in milliseconds
 	of this host's clock.
 	*/
-	take: (words: readonly ExecutorWord[], askedAt: number) => Executor[];
+	applyList: (
+		registrations: readonly ExecutorWord[],
+		askedAt: number,
+	) => Executor[];
 	/** Forgets all other executors. */
 	keepOnly: (executors: readonly Executor[]) => void;
 };
@@ -37,39 +40,44 @@
 registrations.applyList([{...registration, sequence: 4}], now);
 registrations.applyList([{...registration, sequence: 3}], now); // as with sequence 4
 */
-export function createExecutorWords(
+export function createExecutorRegistrations(
 	isGuardedService: (service: string) => boolean,
-): ExecutorWords {
-	const known = new Map<string, Known>();
+): ExecutorRegistrations {
+	const known = new Map<string, KnownRegistration>();
 
-	function takeWord(word: ExecutorWord, askedAt: number): Executor | undefined {
-		const former = known.get(word.id);
-		if (former && isOlder(word, former, askedAt)) {
+	function applyRegistration(
+		registration: ExecutorWord,
+		askedAt: number,
+	): Executor | undefined {
+		const former = known.get(registration.id);
+		if (former && isOlder(registration, former, askedAt)) {
 			return former.executor;
 		}
 
-		const {sequence, revision, capacity, ...rest} = word;
-		const room =
+		const {sequence, revision, capacity, ...rest} = registration;
+		const usable =
 			capacity === undefined
 				? former?.executor
-				: {capacity, saidAt: findSaidAt(word, former) ?? askedAt};
-		if (!room) {
+				: {capacity, saidAt: findFirstReadAt(registration, former) ?? askedAt};
+		if (!usable) {
 			return undefined;
 		}
 
 		const executor: Executor = {
 			...rest,
-			isGuarded: isGuardedService(word.service),
-			capacity: room.capacity,
-			saidAt: room.saidAt,
+			isGuarded: isGuardedService(registration.service),
+			capacity: usable.capacity,
+			saidAt: usable.saidAt,
 		};
-		known.set(word.id, {executor, sequence, revision});
+		known.set(registration.id, {executor, sequence, revision});
 		return executor;
 	}
 
 	return {
-		take: (words, askedAt) =>
-			words.flatMap((word) => takeWord(word, askedAt) ?? []),
+		applyList: (registrations, askedAt) =>
+			registrations.flatMap(
+				(registration) => applyRegistration(registration, askedAt) ?? [],
+			),
 		keepOnly(executors) {
 			const ids = new Set(executors.map(({id}) => id));
 			for (const id of known.keys()) {
@@ -81,15 +89,19 @@
 	};
 }
 
-function isOlder(word: ExecutorWord, former: Known, now: number): boolean {
-	if (isLower(word.revision, former.revision)) {
+function isOlder(
+	registration: ExecutorWord,
+	former: KnownRegistration,
+	now: number,
+): boolean {
+	if (isLower(registration.revision, former.revision)) {
 		return true;
 	}
 
 	// This write reached the store late; the executor's next registration corrects it.
-	if (isLower(word.sequence, former.sequence)) {
-		former.lowerSince ??= now;
-		return now - former.lowerSince < renumberedMs;
+	if (isLower(registration.sequence, former.sequence)) {
+		former.lowerSequenceSince ??= now;
+		return now - former.lowerSequenceSince < renumberingMs;
 	}
 
 	return false;
@@ -100,9 +112,9 @@
 }
 
 /** A registration that is read again keeps the time of its first read. */
-function findSaidAt(
+function findFirstReadAt(
 	{sequence, revision}: ExecutorWord,
-	former: Known | undefined,
+	former: KnownRegistration | undefined,
 ): number | undefined {
 	const isNumbered = sequence !== undefined || revision !== undefined;
 	return isNumbered &&
--- a/packages/host/src/scheduling/group-holding.test.ts
+++ b/packages/host/src/scheduling/group-holding.test.ts
@@ -45,13 +45,13 @@
 	clock: {now: number},
 	{
 		groups = createGroupDirectory(),
-		isOver = false,
-		readExecutors = async () => undefined,
+		isProcessGone = false,
+		refreshExecutors = async () => undefined,
 		listExecutors = () => [],
 	}: {
 		groups?: GroupDirectory;
-		isOver?: boolean;
-		readExecutors?: () => Promise<void>;
+		isProcessGone?: boolean;
+		refreshExecutors?: () => Promise<void>;
 		listExecutors?: () => readonly Executor[];
 	} = {},
 ): GroupHolding {
@@ -59,17 +59,17 @@
 		errAsync({code: 'unreachable' as const, message: 'unused'});
 	return new GroupHolding({
 		group: 'mieres',
-		self: 'mieres_m1',
-		selfId: 'mieres_m1.a1',
-		isOver: () => isOver,
+		hostKey: 'mieres_m1',
+		processId: 'mieres_m1.a1',
+		isProcessGone: () => isProcessGone,
 		store,
 		groups,
 		now: () => clock.now,
-		listOrder: () => ['mieres_m1', 'mieres_m2'],
+		listCandidates: () => ['mieres_m1', 'mieres_m2'],
 		hasPeers: () => true,
 		getLeaseId: () => 1,
 		listExecutors,
-		readExecutors,
+		refreshExecutors,
 		ports: {
 			// The scheduler's pauses between calls never end here.
 			wait: async () =>
@@ -216,7 +216,7 @@
 test('the group is taken at once from a holder whose host now runs as another process', async () => {
 	const clock = {now: 1000};
 	const holding = createHolding(createStore(storedHolder), clock, {
-		isOver: true,
+		isProcessGone: true,
 	});
 	await runFor(holding, clock, 100);
 	assert.ok(holding.scheduler);
@@ -239,7 +239,7 @@
 	let known = executor;
 	const seen: boolean[] = [];
 	const holding = createHolding(createStore(), clock, {
-		async readExecutors() {
+		async refreshExecutors() {
 			known = {...executor, isDraining: true};
 		},
 		listExecutors() {
--- a/packages/host/src/scheduling/group-holding.ts
+++ b/packages/host/src/scheduling/group-holding.ts
@@ -4,8 +4,8 @@
 
 The store arbitrates: the group's key changes hands by compare-and-swap, and the key's revision
 gives the fencing token. While the store is unavailable, only the executors' check of the token
-decides. That is safe in any case; the delays in `choose-holder` keep hosts from taking the group
-from one another again and again.
+decides. That is safe in any case; the delays of `computeTakeoverDelay` keep hosts from taking the
+group from one another again and again.
 */
 import {errAsync} from 'neverthrow';
 import {
@@ -29,18 +29,18 @@
 	/** The data centre whose executors are scheduled. */
 	group: string;
 	/** This host's key, `<data centre>_<host>`. */
-	self: string;
+	hostKey: string;
 	/** This process as the store names it: `<host key>.<incarnation>`. */
-	selfId: string;
+	processId: string;
 	/** Whether the process is known to have ended: its host now runs as another process. */
-	isOver: (processId: string) => boolean;
+	isProcessGone: (processId: string) => boolean;
 	store: CoordinationStore;
 	groups: GroupDirectory;
 	now: () => number;
 	/**
 	Hosts of the data centre that could hold the group, in the order in which they take it over.
 	*/
-	listOrder: () => readonly string[];
+	listCandidates: () => readonly string[];
 	/**
 	Whether any other host is connected. Without peers and without the store this host cannot know
 	whether it is the one that is cut off, so it does not take the group.
@@ -49,7 +49,7 @@
 	getLeaseId: () => number | undefined;
 	listExecutors: () => readonly Executor[];
 	/** Reads the list of executors again; resolves when it has been read, or can't be. */
-	readExecutors: () => Promise<void>;
+	refreshExecutors: () => Promise<void>;
 	ports: Omit<GroupPorts, 'group' | 'token' | 'now' | 'onFenced' | 'log'>;
 	/** This host has taken the group, or given it up. */
 	onChange: () => void;
@@ -57,9 +57,9 @@
 };
 
 /** How long this host does not take the group after executors have obeyed another holder. */
-const fencedRestMs = 1000;
+const fencedPauseMs = 1000;
 /** Pause after a failed takeover: each attempt costs two calls of the store. */
-const retryMs = 150;
+const takeoverRetryMs = 150;
 
 export class GroupHolding {
 	readonly #options: GroupHoldingOptions;
@@ -67,9 +67,9 @@
 	#token = 0;
 	#vacantSince: number | undefined;
 	#isTaking = false;
-	#restsUntil = 0;
+	#noTakeoverBefore = 0;
 	/** The holder that the store names and whose state has not arrived yet, and since when. */
-	#unheard: {id: string; since: number} | undefined;
+	#unconfirmedHolder: {id: string; since: number} | undefined;
 
 	constructor(options: GroupHoldingOptions) {
 		this.#options = options;
@@ -114,51 +114,51 @@
 	}
 
 	setExecutors(executors: readonly Executor[]): void {
-		this.#scheduler?.setExecutors(this.#listOwn(executors));
+		this.#scheduler?.setExecutors(this.#listGroupExecutors(executors));
 	}
 
 	#isSuperseded({state, holder}: KnownGroup): boolean {
 		return (
 			state.token > this.#token ||
-			(state.token === this.#token && holder !== this.#options.self)
+			(state.token === this.#token && holder !== this.#options.hostKey)
 		);
 	}
 
 	#decideTakeover(): void {
-		const {now, self, listOrder} = this.#options;
+		const {now, hostKey, listCandidates} = this.#options;
 		const at = now();
-		const rank = listOrder().indexOf(self);
+		const rank = listCandidates().indexOf(hostKey);
 		if (
 			rank === -1 ||
-			at < this.#restsUntil ||
-			!isVacant(this.#viewHolder(at))
+			at < this.#noTakeoverBefore ||
+			!isVacant(this.#buildHolderView(at))
 		) {
 			this.#vacantSince = undefined;
 			return;
 		}
 
 		this.#vacantSince ??= at;
-		const waited = at - this.#vacantSince;
-		const isReached =
+		const vacantMs = at - this.#vacantSince;
+		const isStoreReached =
 			this.#options.ports.getStoreAgeMs() <
 			computeTakeoverDelay(0, {isStoreReached: false});
 		if (
-			waited >= computeTakeoverDelay(rank, {isStoreReached: isReached}) &&
+			vacantMs >= computeTakeoverDelay(rank, {isStoreReached}) &&
 			!this.#isTaking
 		) {
-			void this.#take(isReached);
+			void this.#takeOver(isStoreReached);
 		}
 	}
 
-	#viewHolder(at: number): HolderView {
-		const {groups, group, self, ports} = this.#options;
+	#buildHolderView(at: number): HolderView {
+		const {groups, group, hostKey, ports} = this.#options;
 		const known = groups.findGroup(group);
 		return {
 			holder: known && {
 				// This host runs no scheduler now, so a group that it held before is vacant.
 				isSelf: false,
-				isReleased: known.state.isReleased || known.holder === self,
-				isLeaving: known.state.isLeaving || known.state.successor === self,
+				isReleased: known.state.isReleased || known.holder === hostKey,
+				isLeaving: known.state.isLeaving || known.state.successor === hostKey,
 				silentMs: at - known.heardAt,
 				storeAgeMs: known.state.storeAgeMs,
 			},
@@ -167,28 +167,28 @@
 		};
 	}
 
-	async #take(isStoreReached: boolean): Promise<void> {
+	async #takeOver(isStoreReached: boolean): Promise<void> {
 		this.#isTaking = true;
 		const token = isStoreReached
-			? await this.#takeByStore()
+			? await this.#takeWithStore()
 			: this.#takeWithoutStore();
 		if (token !== undefined && isStoreReached) {
 			// This host did not hold the group, so its list of executors may be seconds old. With
 			// that list it would start tasks on an executor that has begun to drain since.
-			await this.#options.readExecutors();
+			await this.#options.refreshExecutors();
 		}
 
 		this.#isTaking = false;
 		if (token === undefined) {
-			this.#restsUntil = this.#options.now() + retryMs;
+			this.#noTakeoverBefore = this.#options.now() + takeoverRetryMs;
 			return;
 		}
 
-		this.#open(token, isStoreReached);
+		this.#startScheduler(token, isStoreReached);
 	}
 
-	async #takeByStore(): Promise<number | undefined> {
-		const {store, group, selfId, getLeaseId, log} = this.#options;
+	async #takeWithStore(): Promise<number | undefined> {
+		const {store, group, processId, getLeaseId, log} = this.#options;
 		const leaseId = getLeaseId();
 		if (leaseId === undefined) {
 			return undefined;
@@ -200,7 +200,7 @@
 			return obstacle === undefined
 				? store.commit({
 						expected: [{key, revision: item?.revision ?? 0}],
-						write: [{key, value: selfId, leaseId}],
+						write: [{key, value: processId, leaseId}],
 					})
 				: errAsync<{revision: number}, StoreFailure>({
 						code: 'conflict',
@@ -224,11 +224,11 @@
 	holder's state may have arrived meanwhile; undefined: it may.
 	*/
 	#findObstacle(holderId: string | undefined): string | undefined {
-		if (!isVacant(this.#viewHolder(this.#options.now()))) {
+		if (!isVacant(this.#buildHolderView(this.#options.now()))) {
 			return `held by ${holderId ?? 'nobody by the store'}; a holder's state arrived meanwhile`;
 		}
 
-		return this.#isUnheard(holderId)
+		return this.#isUnconfirmed(holderId)
 			? `held by ${holderId ?? ''}, whose state has not arrived yet`
 			: undefined;
 	}
@@ -238,34 +238,35 @@
 	when both hosts have just started. If the group were taken from it at once, the group would
 	change hands twice while the first callers arrive.
 	*/
-	#isUnheard(holderId: string | undefined): boolean {
-		const {groups, group, self, isOver, now} = this.#options;
+	#isUnconfirmed(holderId: string | undefined): boolean {
+		const {groups, group, hostKey, isProcessGone, now} = this.#options;
 		const known = groups.findGroup(group)?.holder;
-		const isOwn = holderId?.startsWith(`${self}.`);
-		const isHeard = known !== undefined && holderId?.startsWith(`${known}.`);
-		const isSettled = [isOwn, isHeard].includes(true);
-		if (holderId === undefined || isSettled || isOver(holderId)) {
-			this.#unheard = undefined;
+		const isOwn = holderId?.startsWith(`${hostKey}.`);
+		const isStateKnown =
+			known !== undefined && holderId?.startsWith(`${known}.`);
+		const isConfirmed = [isOwn, isStateKnown].includes(true);
+		if (holderId === undefined || isConfirmed || isProcessGone(holderId)) {
+			this.#unconfirmedHolder = undefined;
 			return false;
 		}
 
-		if (this.#unheard?.id !== holderId) {
-			this.#unheard = {id: holderId, since: now()};
+		if (this.#unconfirmedHolder?.id !== holderId) {
+			this.#unconfirmedHolder = {id: holderId, since: now()};
 		}
 
-		return now() - this.#unheard.since < holderSilenceMs;
+		return now() - this.#unconfirmedHolder.since < holderSilenceMs;
 	}
 
 	#takeWithoutStore(): number | undefined {
-		const {groups, group, hasPeers, self} = this.#options;
+		const {groups, group, hasPeers, hostKey} = this.#options;
 		const lastToken = groups.findGroup(group)?.state.token;
 		return lastToken === undefined || !hasPeers()
 			? undefined
-			: makeStorelessToken(lastToken, computeSlot(self));
+			: makeStorelessToken(lastToken, computeSlot(hostKey));
 	}
 
-	#open(token: number, isStoreReached: boolean): void {
-		const {group, groups, now, ports, listExecutors, log, onChange, self} =
+	#startScheduler(token: number, isStoreReached: boolean): void {
+		const {group, groups, now, ports, listExecutors, log, onChange, hostKey} =
 			this.#options;
 		const known = groups.findGroup(group);
 		if (known && known.state.token >= token) {
@@ -289,11 +290,11 @@
 			log,
 			onFenced: () => {
 				this.#giveUp('executors obey another');
-				this.#restsUntil = now() + fencedRestMs;
+				this.#noTakeoverBefore = now() + fencedPauseMs;
 			},
 		});
-		groups.update(self, this.#scheduler.describeState(), now());
-		this.#scheduler.setExecutors(this.#listOwn(listExecutors()));
+		groups.update(hostKey, this.#scheduler.describeState(), now());
+		this.#scheduler.setExecutors(this.#listGroupExecutors(listExecutors()));
 		onChange();
 	}
 
@@ -315,7 +316,7 @@
 		const known = this.#options.groups.findGroup(state.group);
 		if (known?.state.token === this.#token) {
 			this.#options.groups.update(
-				this.#options.self,
+				this.#options.hostKey,
 				state,
 				this.#options.now(),
 			);
@@ -324,7 +325,7 @@
 		this.#options.onChange();
 	}
 
-	#listOwn(executors: readonly Executor[]): Executor[] {
+	#listGroupExecutors(executors: readonly Executor[]): Executor[] {
 		const {group} = this.#options;
 		return executors.filter(({dataCentre}) => dataCentre === group);
 	}
--- a/packages/host/src/scheduling/host-cluster.fixture.ts
+++ b/packages/host/src/scheduling/host-cluster.fixture.ts
@@ -217,7 +217,7 @@
 		self: {...host, role: 'entry', address, state: 'live'},
 		store: store.connect(host.name),
 		random: () => 0.5,
-		onEntered() {
+		onRegistered() {
 			void directory.readListAgain();
 		},
 		log() {
--- a/packages/host/src/scheduling/host-presence.test.ts
+++ b/packages/host/src/scheduling/host-presence.test.ts
@@ -38,7 +38,7 @@
 			readPrefix: () => okAsync({items, revision: 9}),
 		} as unknown as CoordinationStore,
 		random: () => 0,
-		onEntered() {
+		onRegistered() {
 			// This host does not register here.
 		},
 		log(_message, {key}) {
--- a/packages/host/src/scheduling/host-presence.ts
+++ b/packages/host/src/scheduling/host-presence.ts
@@ -24,11 +24,11 @@
 import {createOnceLog} from '@gentianshift/telemetry';
 import {repeat, retryPausesMs} from '../timers.js';
 
-const prefix = 'gentianshift/hosts/';
+const hostKeyPrefix = 'gentianshift/hosts/';
 /** Bounds how long hosts dial one that is gone: this long after its last renewal. */
 const leaseTtlMs = 5000;
 /** Three renewals may fail before the lease expires. */
-const renewEveryMs = 1200;
+const renewIntervalMs = 1200;
 
 export type HostPresence = {
 	/** The lease under which keys of this host are written; undefined: there is none now. */
@@ -43,20 +43,21 @@
 	self,
 	store,
 	random,
-	onEntered,
+	onRegistered,
 	log,
 }: {
 	self: KnownHost;
 	store: CoordinationStore;
 	random: () => number;
 	/**
-	Called when the registration was written, or may have been. The next list then names the hosts
-	that registered earlier, and those cannot know of this one.
+	Called when the registration was written, or may have been. A list that is requested from then
+	on names the hosts that registered earlier, which cannot know of this one, so the list is read
+	again.
 	*/
-	onEntered: () => void;
+	onRegistered: () => void;
 	log: (message: string, fields: Record<string, unknown>) => void;
 }): HostPresence {
-	const key = `${prefix}${self.name}`;
+	const key = `${hostKeyPrefix}${self.name}`;
 	const logOnce = createOnceLog(log);
 	let leaseId: number | undefined;
 	let isEnded = false;
@@ -64,15 +65,15 @@
 	How often the registration was written, and how often it had been when the last list that is not
 	stale was requested.
 	*/
-	let timesEntered = 0;
-	let timesCovered = 0;
+	let writeCount = 0;
+	let coveredWriteCount = 0;
 
-	function markEntered(): void {
-		timesEntered += 1;
-		onEntered();
+	function markRegistered(): void {
+		writeCount += 1;
+		onRegistered();
 	}
 
-	function enter(): ResultAsync<void, StoreFailure> {
+	function writeRegistration(): ResultAsync<void, StoreFailure> {
 		return store
 			.createLease(leaseTtlMs)
 			.andThen((lease) =>
@@ -83,11 +84,11 @@
 					.andTee(() => {
 						leaseId = lease.leaseId;
 						log('host registered in the store', {leaseId});
-						markEntered();
+						markRegistered();
 					})
 					.orTee(({code}) => {
 						if (code === 'unknown-outcome') {
-							markEntered();
+							markRegistered();
 						}
 					}),
 			)
@@ -100,7 +101,7 @@
 		}
 
 		const result = await (leaseId === undefined
-			? enter()
+			? writeRegistration()
 			: store.renewLease(leaseId));
 		if (result.isErr()) {
 			log('lease of this host is not renewed', {
@@ -109,7 +110,7 @@
 			});
 			if (result.error.code === 'no-lease') {
 				leaseId = undefined;
-				await enter();
+				await writeRegistration();
 			}
 		}
 	}
@@ -117,18 +118,20 @@
 	return {
 		getLeaseId: () => leaseId,
 		fetchHosts() {
-			const timesBefore = timesEntered;
+			const writeCountBefore = writeCount;
 			return store
-				.readPrefix(prefix, {mayBeStale: timesBefore === timesCovered})
+				.readPrefix(hostKeyPrefix, {
+					mayBeStale: writeCountBefore === coveredWriteCount,
+				})
 				.andThen(({items}) => {
-					timesCovered = Math.max(timesCovered, timesBefore);
+					coveredWriteCount = Math.max(coveredWriteCount, writeCountBefore);
 					const hosts = items.flatMap((item) => readHost(item));
 					const isMissing =
 						leaseId !== undefined &&
 						!isEnded &&
-						timesBefore === timesEntered &&
+						writeCountBefore === writeCount &&
 						hosts.every(({name}) => name !== self.name);
-					return isMissing ? enterAgain(hosts) : okAsync(hosts);
+					return isMissing ? restoreRegistration(hosts) : okAsync(hosts);
 				});
 		},
 		start(signal) {
@@ -136,8 +139,8 @@
 			void repeat(renew, {
 				everyMs: () =>
 					leaseId === undefined
-						? (retries.next().value ?? renewEveryMs)
-						: renewEveryMs,
+						? (retries.next().value ?? renewIntervalMs)
+						: renewIntervalMs,
 				signal,
 				random,
 			});
@@ -165,26 +168,26 @@
 	}
 
 	/** The list may be older than the registration; writing the registration again does no harm. */
-	function enterAgain(
+	function restoreRegistration(
 		hosts: KnownHost[],
 	): ResultAsync<KnownHost[], StoreFailure> {
 		log(
 			'registration of this host is missing from the store; writing it again',
 			{leaseId},
 		);
-		return new ResultAsync(writeAgain(hosts));
+		return new ResultAsync(writeRegistrationAgain(hosts));
 	}
 
-	async function writeAgain(
+	async function writeRegistrationAgain(
 		hosts: KnownHost[],
 	): Promise<Result<KnownHost[], StoreFailure>> {
-		const written = await enter();
+		const written = await writeRegistration();
 		return written.isOk() ? ok(hosts) : err(written.error);
 	}
 }
 
 /** Hosts dial this address; a host that dialled anything else would crash. */
-const entrySchema = knownHostSchema.extend({address: hostAddressSchema});
+const registrationSchema = knownHostSchema.extend({address: hostAddressSchema});
 
 function parseHost(text: string): Result<KnownHost, string> {
 	let value: unknown;
@@ -194,6 +197,6 @@
 		return err(String(error));
 	}
 
-	const parsed = entrySchema.safeParse(value);
+	const parsed = registrationSchema.safeParse(value);
 	return parsed.success ? ok(parsed.data) : err(z.prettifyError(parsed.error));
 }
--- a/packages/host/src/scheduling/host-roles.ts
+++ b/packages/host/src/scheduling/host-roles.ts
@@ -23,7 +23,7 @@
 import {type GroupState, type Link, type Message} from '@gentianshift/protocol';
 import {type ExecutorLists} from './executor-lists.js';
 import {GroupHolding} from './group-holding.js';
-import {measureStoreAge} from './store-clock.js';
+import {measureStoreAge} from './store-age.js';
 
 export type HostRolesOptions = {
 	dataCentre: string;
@@ -33,7 +33,7 @@
 	ownerId: string;
 	store: CoordinationStore;
 	control: ExecutorControl;
-	executors: Pick<ExecutorLists, 'list' | 'readNow' | 'isComplete' | 'isFresh'>;
+	executors: Pick<ExecutorLists, 'list' | 'refresh' | 'isComplete' | 'isFresh'>;
 	peers: Peers;
 	getLeaseId: () => number | undefined;
 	now: () => number;
@@ -77,9 +77,9 @@
 	readonly #localEntry: Entry;
 	/** A host with more cores that is asked to take the group over. */
 	#successor: string | undefined;
-	#toldAt = 0;
+	#stateSentAt = 0;
 	/** Whether the state that was last sent was of a group whose executors have all answered. */
-	#isToldReady = false;
+	#isReadyStateSent = false;
 
 	constructor(options: HostRolesOptions) {
 		this.#options = options;
@@ -126,7 +126,7 @@
 		this.entry.answerState(this.#options.dataCentre);
 		this.#refreshOwnState();
 		this.entry.update();
-		if (this.#options.now() - this.#toldAt >= stateEveryMs) {
+		if (this.#options.now() - this.#stateSentAt >= stateEveryMs) {
 			this.tellState();
 		}
 	}
@@ -135,11 +135,11 @@
 	Sends the state of the group that this host holds, or has just given up, to all connected hosts.
 	*/
 	tellState(): void {
-		const state = this.#findStateToTell();
+		const state = this.#findStateToSend();
 		if (state) {
-			this.#toldAt = this.#options.now();
-			this.#isToldReady = this.holding.scheduler?.isReady ?? false;
-			this.tellPeers(state);
+			this.#stateSentAt = this.#options.now();
+			this.#isReadyStateSent = this.holding.scheduler?.isReady ?? false;
+			this.sendToPeers(state);
 		}
 	}
 
@@ -147,14 +147,14 @@
 	Sends the state to one host that has just been connected: it may have treated the group as
 	unreachable since its previous connection broke.
 	*/
-	tellStateTo(peer: Pick<Link, 'send'>): void {
-		const state = this.#findStateToTell();
+	sendStateTo(peer: Pick<Link, 'send'>): void {
+		const state = this.#findStateToSend();
 		if (state) {
 			peer.send(state);
 		}
 	}
 
-	tellPeers(message: Message): void {
+	sendToPeers(message: Message): void {
 		for (const link of this.#options.peers.listLinks()) {
 			link.send(message);
 		}
@@ -178,17 +178,17 @@
 			this.#options;
 		return new GroupHolding({
 			group: dataCentre,
-			self: key,
-			selfId: ownerId,
-			isOver: (processId) => this.#isOver(processId),
+			hostKey: key,
+			processId: ownerId,
+			isProcessGone: (processId) => this.#isProcessGone(processId),
 			store,
 			groups: this.groups,
 			now,
-			listOrder: peers.listOrder,
+			listCandidates: peers.listOrder,
 			hasPeers: () => peers.listLinks().length > 0,
 			getLeaseId: this.#options.getLeaseId,
 			listExecutors: () => executors.list(),
-			readExecutors: async () => executors.readNow(),
+			refreshExecutors: async () => executors.refresh(),
 			ports: {
 				wait: this.#options.wait,
 				readBootTime: this.#options.readBootTime,
@@ -196,7 +196,7 @@
 				runTimes: this.#runTimes,
 				crashes: this.crashes,
 				onChange: () => {
-					this.#tellFirstRoom();
+					this.#sendFirstReadyState();
 				},
 				takeElsewhere: (cpu, tasks) =>
 					this.groups.takeElsewhere({home: dataCentre, cpu, tasks}, now()),
@@ -219,7 +219,7 @@
 	Whether that process is known to have ended: its host is connected to this one, but only as
 	other incarnations.
 	*/
-	#isOver(processId: string): boolean {
+	#isProcessGone(processId: string): boolean {
 		const {host, incarnation} = parseProcessId(processId);
 		const incarnations = this.#options.peers.listIncarnations(host);
 		return incarnations.length > 0 && !incarnations.includes(incarnation);
@@ -278,19 +278,19 @@
 
 	/** Lets the entry on this host see the scheduler's current free capacity. */
 	#refreshOwnState(): void {
-		const state = this.#describeOwn();
+		const state = this.#describeOwnGroup();
 		if (state) {
 			this.groups.update(this.#options.key, state, this.#options.now());
 		}
 	}
 
-	#findStateToTell(): GroupState | undefined {
+	#findStateToSend(): GroupState | undefined {
 		const known = this.groups.findGroup(this.#options.dataCentre);
 		const isOwn = known?.holder === this.#options.key;
-		return this.#describeOwn() ?? (isOwn ? known.state : undefined);
+		return this.#describeOwnGroup() ?? (isOwn ? known.state : undefined);
 	}
 
-	#describeOwn(): GroupState | undefined {
+	#describeOwnGroup(): GroupState | undefined {
 		return this.holding.scheduler?.describeState();
 	}
 
@@ -299,8 +299,8 @@
 	reports no free capacity until then, and all entries wait for that state, so it must not wait
 	for the next regular one.
 	*/
-	#tellFirstRoom(): void {
-		if (!this.#isToldReady && this.holding.scheduler?.isReady) {
+	#sendFirstReadyState(): void {
+		if (!this.#isReadyStateSent && this.holding.scheduler?.isReady) {
 			this.#refreshOwnState();
 			this.tellState();
 			this.entry.placeWaiting();
--- a/packages/host/src/scheduling/queue-tables.test.ts
+++ b/packages/host/src/scheduling/queue-tables.test.ts
@@ -26,7 +26,7 @@
 					maxBodyBytes: 1000,
 				}),
 		},
-		tellPeers(message) {
+		sendToPeers(message) {
 			sent.push(message);
 		},
 		random: () => 0,
@@ -128,11 +128,11 @@
 		read: () => answerLater({text: reads[0], revision: 1}),
 		watch: () => answerLater({text: reads[1], revision: 2}),
 	});
-	assert.ok(tables.isNamedService('any'), 'no configuration is known yet');
+	assert.ok(tables.isKnownService('any'), 'no configuration is known yet');
 	tables.start(ending.signal);
 	await delay(50);
 	ending.abort();
-	assert.ok(tables.isNamedService('service-7'));
-	assert.ok(tables.isNamedService('service-8'));
-	assert.equal(tables.isNamedService('unknown-service'), false);
+	assert.ok(tables.isKnownService('service-7'));
+	assert.ok(tables.isKnownService('service-8'));
+	assert.equal(tables.isKnownService('unknown-service'), false);
 });
--- a/packages/host/src/scheduling/queue-tables.ts
+++ b/packages/host/src/scheduling/queue-tables.ts
@@ -16,7 +16,7 @@
 */
 const watchWaitMs = 1500;
 /** Pause after a call that failed. */
-const retryMs = 200;
+const retryPauseMs = 200;
 /**
 Requests that arrive before the first configuration wait for it until this long after the start. The
 store answers within some milliseconds, and a call whose answer is lost is repeated within this
@@ -31,7 +31,7 @@
 	Whether the configuration names the service, or an earlier one did: tasks of a removed service
 	may run to their end. True while no configuration is known.
 	*/
-	isNamedService: (service: string) => boolean;
+	isKnownService: (service: string) => boolean;
 	/**
 	Whether executors of the service refuse tasks that exceed their capacity; false while that is
 	not known.
@@ -55,25 +55,25 @@
 export type QueueTablesOptions = {
 	source: QueueTableSource;
 	/** Sends to all connected hosts. */
-	tellPeers: (message: MessageOf<'queue-table'>) => void;
+	sendToPeers: (message: MessageOf<'queue-table'>) => void;
 	random: () => number;
 	log: (message: string, fields: Record<string, unknown>) => void;
 };
 
 export function createQueueTables({
 	source,
-	tellPeers,
+	sendToPeers,
 	random,
 	log,
 }: QueueTablesOptions): QueueTables {
 	let table: QueueTable | undefined;
-	let text = '';
-	const services = new Set<string>();
-	let revision = 0;
-	const firstTable = new AbortController();
-	let firstLimit: Promise<void> | undefined;
+	let tableText = '';
+	const knownServices = new Set<string>();
+	let watchRevision = 0;
+	const firstTableController = new AbortController();
+	let firstTableWait: Promise<void> | undefined;
 
-	function take(newText: string, origin: string): boolean {
+	function applyText(newText: string, origin: string): boolean {
 		const decoded = source.decode(newText);
 		if (decoded.isErr()) {
 			log('configuration is not valid', {origin, reason: decoded.error});
@@ -91,73 +91,74 @@
 			queues: decoded.value.queues.length,
 		});
 		table = decoded.value;
-		text = newText;
+		tableText = newText;
 		for (const service of [
 			...table.services,
 			...table.queues.map((queue) => queue.service),
 		]) {
-			services.add(service);
+			knownServices.add(service);
 		}
 
-		firstTable.abort();
+		firstTableController.abort();
 		return true;
 	}
 
-	function takeFromStore(read: ConfigurationRead): void {
+	function applyRead(read: ConfigurationRead): void {
 		// Earlier history is not needed again, and the store soon discards it.
-		revision = Math.max(revision, read.revision);
-		if (read.text !== undefined && take(read.text, 'store')) {
-			tellPeers({t: 'queue-table', version: table!.version, text});
+		watchRevision = Math.max(watchRevision, read.revision);
+		if (read.text !== undefined && applyText(read.text, 'store')) {
+			sendToPeers({t: 'queue-table', version: table!.version, text: tableText});
 		}
 	}
 
 	async function watchStore(signal: AbortSignal): Promise<void> {
 		let isWatching = false;
 		while (!signal.aborted) {
-			const found = await (isWatching
-				? source.watch(revision, watchWaitMs)
+			const result = await (isWatching
+				? source.watch(watchRevision, watchWaitMs)
 				: source.read());
-			if (found.isOk()) {
-				takeFromStore(found.value);
-				isWatching = revision > 0;
+			if (result.isOk()) {
+				applyRead(result.value);
+				isWatching = watchRevision > 0;
 			} else {
 				log('configuration can not be read', {
-					code: found.error.code,
-					reason: found.error.message,
+					code: result.error.code,
+					reason: result.error.message,
 				});
 				isWatching = false;
 			}
 
 			if (!isWatching) {
-				await waitFor(retryMs * (0.5 + random()), signal);
+				await waitFor(retryPauseMs * (0.5 + random()), signal);
 			}
 		}
 	}
 
 	return {
 		getTable: () => table,
-		isNamedService: (service) => table === undefined || services.has(service),
+		isKnownService: (service) =>
+			table === undefined || knownServices.has(service),
 		isGuardedService: (service) =>
 			table?.guardedServices.includes(service) ?? false,
 		async waitForTable() {
-			await firstLimit;
+			await firstTableWait;
 			return table;
 		},
 		start(signal) {
-			firstLimit = waitFor(
+			firstTableWait = waitFor(
 				firstTableLimitMs,
-				AbortSignal.any([signal, firstTable.signal]),
+				AbortSignal.any([signal, firstTableController.signal]),
 			);
 			void watchStore(signal);
 		},
 		receive(message, answer) {
 			const own = table?.version ?? 0;
 			if (message.isAsked && table) {
-				answer({t: 'queue-table', version: own, text});
+				answer({t: 'queue-table', version: own, text: tableText});
 			} else if (message.version > own && message.text === undefined) {
 				answer({t: 'queue-table', version: own, isAsked: true});
 			} else if (message.text !== undefined) {
-				take(message.text, 'peer');
+				applyText(message.text, 'peer');
 			}
 		},
 		tell(send) {
--- a/packages/host/src/scheduling/scheduling-handlers.ts
+++ b/packages/host/src/scheduling/scheduling-handlers.ts
@@ -15,7 +15,7 @@
 import {type HostRoles} from './host-roles.js';
 import {type QueueTables} from './queue-tables.js';
 
-export type SchedulingParts = {
+export type SchedulingHandlersOptions = {
 	directory: Pick<
 		Directory,
 		| 'markLinkUp'
@@ -26,7 +26,7 @@
 	>;
 	roles: Pick<
 		HostRoles,
-		'crashes' | 'entry' | 'groups' | 'holding' | 'tellStateTo'
+		'crashes' | 'entry' | 'groups' | 'holding' | 'sendStateTo'
 	>;
 	tables: Pick<QueueTables, 'tell' | 'receive'>;
 	/** The address at which this host dials the peer. */
@@ -42,7 +42,7 @@
 	findAddress,
 	now,
 	log,
-}: SchedulingParts): MeshHandlers {
+}: SchedulingHandlersOptions): MeshHandlers {
 	const {entry, groups, holding} = roles;
 	return {
 		onBeat() {
@@ -51,7 +51,7 @@
 		onLinkUp(link) {
 			log('link up', {peer: link.key});
 			directory.markLinkUp(link, findAddress(link.key));
-			roles.tellStateTo(link);
+			roles.sendStateTo(link);
 			entry.markLinkUp(link.key, link.hello.incarnation);
 			entry.sendAgain(link.key);
 			tables.tell((message) => {
@@ -95,7 +95,7 @@
 			case 'replace':
 			case 'drop':
 			case 'keep': {
-				receiveWork(session, message);
+				receiveTaskMessage(session, message);
 				break;
 			}
 
@@ -146,20 +146,20 @@
 		}
 	}
 
-	function receiveWork(
+	function receiveTaskMessage(
 		session: Session,
 		message: Extract<Message, {t: 'part' | 'replace' | 'drop' | 'keep'}>,
 	): void {
 		const {scheduler} = holding;
 		const from: Entry = {
 			key: `${session.key}.${session.hello.incarnation}`,
-			send(word) {
-				session.send(word);
+			send(reply) {
+				session.send(reply);
 			},
 		};
 		if (!scheduler) {
 			if (message.t === 'part') {
-				session.send(makeReleased(message));
+				session.send(makeReleasedReply(message));
 			}
 
 			return;
@@ -170,7 +170,7 @@
 }
 
 /** The reply of a host that does not hold the group: it runs none of these tasks. */
-function makeReleased({job, token, claim, tasks}: Part): Ends {
+function makeReleasedReply({job, token, claim, tasks}: Part): Ends {
 	return {
 		t: 'ends',
 		job,
--- a/packages/host/src/scheduling/scheduling-metrics.ts
+++ b/packages/host/src/scheduling/scheduling-metrics.ts
@@ -36,7 +36,7 @@
 	control: ExecutorControl,
 	metrics: Metrics,
 ): ExecutorControl {
-	const count = (kind: string) => ({
+	const makeCounters = (kind: string) => ({
 		ok() {
 			metrics.executorCalls.inc({kind, outcome: 'ok'});
 		},
@@ -44,9 +44,9 @@
 			metrics.executorCalls.inc({kind, outcome: code});
 		},
 	});
-	const start = count('start');
-	const stop = count('stop');
-	const renew = count('renew');
+	const start = makeCounters('start');
+	const stop = makeCounters('stop');
+	const renew = makeCounters('renew');
 	return {
 		startTask: (executor, request) =>
 			control.startTask(executor, request).andTee(start.ok).orTee(start.failed),
--- a/packages/host/src/scheduling/start-scheduling-host.ts
+++ b/packages/host/src/scheduling/start-scheduling-host.ts
@@ -23,17 +23,17 @@
 import {createQueueTables, type QueueTables} from './queue-tables.js';
 import {createSchedulingHandlers} from './scheduling-handlers.js';
 import {recordAnswer, setGauges, wrapControl} from './scheduling-metrics.js';
-import {measureStoreAge} from './store-clock.js';
+import {measureStoreAge} from './store-age.js';
 import {type Surroundings} from './surroundings.js';
 
 /** Interval of the check for time limits that have passed: a tenth of the shortest one. */
-const updateEveryMs = 50;
+const updateIntervalMs = 50;
 /**
 Heartbeat between hosts. A scheduler's silence shows earlier by its missing state messages, which
 are more frequent; the heartbeat only finds connections that went silent. Two heartbeats may be
 missed before a connection is closed.
 */
-const heartbeatMs = 900;
+const heartbeatIntervalMs = 900;
 /**
 How long a starting host waits for connections to all listed hosts before it takes a role. After all
 hosts have lost power some start later than others, and the first ones must not wait for them. If
@@ -46,8 +46,8 @@
 Longest wait at shutdown for another host to take the group over, which that host's state message
 shows. Without a successor this host stops all the same.
 */
-const successorLimitMs = 2000;
-const successorCheckMs = 20;
+const handoverLimitMs = 2000;
+const handoverCheckMs = 20;
 const thousandthsPerCore = 1000;
 
 export type SchedulingHostOptions = {
@@ -92,8 +92,8 @@
 	*/
 	isReady: () => boolean;
 	/**
-	Ends all roles of this host, and lets another host take its group over. Resolves when that has
-	happened, or after two seconds.
+	From now on this host takes no role, and another host is to take its group over. Resolves when
+	that has happened, or after two seconds.
 	*/
 	startStopping: () => Promise<void>;
 	stop: () => Promise<void>;
@@ -117,7 +117,7 @@
 	readonly #executors: ExecutorLists;
 	readonly #roles: HostRoles;
 	readonly #mesh: Mesh;
-	readonly #ended = new AbortController();
+	readonly #stopController = new AbortController();
 	#timer: NodeJS.Timeout | undefined;
 
 	constructor(options: SchedulingHostOptions, hash: Hash64) {
@@ -129,7 +129,7 @@
 			self: {...options.host, role: 'entry', address, state: 'live'},
 			store: surroundings.store,
 			random,
-			onEntered: () => {
+			onRegistered: () => {
 				void this.#directory.readListAgain();
 			},
 			log,
@@ -149,8 +149,8 @@
 		});
 		this.#tables = createQueueTables({
 			source: surroundings.queueTables,
-			tellPeers: (message) => {
-				this.#roles.tellPeers(message);
+			sendToPeers: (message) => {
+				this.#roles.sendToPeers(message);
 			},
 			random,
 			log,
@@ -158,7 +158,7 @@
 		this.#executors = createExecutorLists({
 			source: surroundings.executors,
 			isHolder: () => this.#roles.holding.scheduler !== undefined,
-			isNamedService: (service) => this.#tables.isNamedService(service),
+			isNamedService: (service) => this.#tables.isKnownService(service),
 			isGuardedService: (service) => this.#tables.isGuardedService(service),
 			onList: (list) => {
 				this.#roles.holding.setExecutors(list);
@@ -173,7 +173,7 @@
 	}
 
 	async start(): Promise<void> {
-		const {signal} = this.#ended;
+		const {signal} = this.#stopController;
 		await this.#mesh.start();
 		this.#presence.start(signal);
 		this.#directory.start(this.#mesh, signal);
@@ -181,7 +181,7 @@
 		this.#executors.start(signal);
 		this.#timer = setInterval(() => {
 			this.#roles.update();
-		}, updateEveryMs);
+		}, updateIntervalMs);
 	}
 
 	submit(
@@ -194,7 +194,7 @@
 	cancel(id: string): boolean {
 		const isHere = this.#roles.entry.cancel(id);
 		if (!isHere) {
-			this.#roles.tellPeers({t: 'cancel-job', job: id});
+			this.#roles.sendToPeers({t: 'cancel-job', job: id});
 		}
 
 		return isHere;
@@ -218,8 +218,8 @@
 
 	isReady(): boolean {
 		const {groups, isStopping} = this.#roles;
-		const isServed = groups.listRooms(readNow()).length > 0;
-		return !isStopping && this.getTable() !== undefined && isServed;
+		const hasOpenGroup = groups.listRooms(readNow()).length > 0;
+		return !isStopping && this.getTable() !== undefined && hasOpenGroup;
 	}
 
 	async exportMetrics(): Promise<string> {
@@ -246,9 +246,9 @@
 		this.#roles.isStopping = true;
 		this.#directory.startStopping();
 		this.#roles.tellState();
-		const limitAt = readNow() + successorLimitMs;
+		const limitAt = readNow() + handoverLimitMs;
 		while (this.#roles.holding.scheduler && readNow() < limitAt) {
-			await waitFor(successorCheckMs);
+			await waitFor(handoverCheckMs);
 		}
 	}
 
@@ -256,7 +256,7 @@
 		this.#roles.holding.stop();
 		this.#roles.tellState();
 		clearInterval(this.#timer);
-		this.#ended.abort();
+		this.#stopController.abort();
 		await this.#presence.end();
 		await this.#mesh.stop();
 		await this.#options.surroundings.store.close();
@@ -328,7 +328,7 @@
 			source,
 			random: Math.random,
 			meter: createMeter(metrics),
-			pingMs: heartbeatMs,
+			pingMs: heartbeatIntervalMs,
 			handlers: createSchedulingHandlers({
 				directory: this.#directory,
 				roles: this.#roles,
--- a/packages/membership/src/host-view.test.ts
+++ b/packages/membership/src/host-view.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {
 	createHostView,
-	forgetMs,
+	forgetAfterMs,
 	reconnectGraceMs,
 	type KnownHost,
 } from './host-view.js';
@@ -93,7 +93,7 @@
 	const view = createHostView(h1);
 	view.takePeerList([h3], 0);
 	assert.deepEqual(listNames(view.exportHosts()), ['h1']);
-	assert.deepEqual(view.listPeers(forgetMs + 1), []);
+	assert.deepEqual(view.listPeers(forgetAfterMs + 1), []);
 });
 
 test('the address of a working connection is preferred to the list’s', () => {
--- a/packages/membership/src/host-view.ts
+++ b/packages/membership/src/host-view.ts
@@ -8,8 +8,8 @@
   list says. A connection that a peer dialled only tells the peer's address, like a peer's list with
   one host; it does not show that the peer can be reached.
 - A closed connection may be a brief interruption: its host stays live for `reconnectGraceMs`, so
-  that roles don't move away and back. A host whose connection was closed for silence is not live at
-  once, as the silence has used that time up.
+  that roles don't move away and back. A host whose connection was closed for silence stops being
+  live immediately, as the silence has used that time up.
 - The platform's list lags and has outages. It tells which hosts to dial and which are leaving.
   Being listed makes no host live: a host that died stays listed for a while, and would hold roles
   without anyone receiving anything from it.
@@ -79,19 +79,19 @@
 How long this host still dials a host that only peers name, or that was connected before. Longer
 than a restart, so that hosts find each other again while the platform is down.
 */
-export const forgetMs = 60_000;
+export const forgetAfterMs = 60_000;
 
 /** Hosts whose settings name no share of the processor count as equal. */
 const defaultCores = 1;
 
-type Contact = {
+type ContactedHost = {
 	host: KnownHost;
 	isConnected: boolean;
 	closed?: {cause: CloseCause; at: number};
 	isLeaving: boolean;
 };
 
-type Vouched = {host: KnownHost; at: number};
+type ReportedHost = {host: KnownHost; at: number};
 
 /** The host's name in maps and in job ids: `<data centre>_<host>`. */
 export function formatHostKey({
@@ -102,17 +102,17 @@
 }
 
 export function createHostView(self: KnownHost): HostView {
-	return new Hosts(self);
+	return new TrackedHosts(self);
 }
 
-class Hosts implements HostView {
+class TrackedHosts implements HostView {
 	readonly #self: KnownHost;
 	readonly #selfKey: string;
 	/** Entry hosts of the platform's last list. */
-	#listed = new Map<string, KnownHost>();
+	#listedHosts = new Map<string, KnownHost>();
 	#leavingWorkers = new Set<string>();
-	readonly #vouched = new Map<string, Vouched>();
-	readonly #contacts = new Map<string, Contact>();
+	readonly #reportedHosts = new Map<string, ReportedHost>();
+	readonly #contactedHosts = new Map<string, ContactedHost>();
 	#isLeaving = false;
 
 	constructor(self: KnownHost) {
@@ -121,7 +121,7 @@
 	}
 
 	takePlatformList(hosts: readonly KnownHost[]): void {
-		this.#listed = new Map(
+		this.#listedHosts = new Map(
 			hosts
 				.filter(({role}) => role === 'entry')
 				.map((host) => [formatHostKey(host), host] as const),
@@ -129,7 +129,7 @@
 		this.#leavingWorkers = new Set(
 			hosts
 				.filter(({role, state}) => role === 'worker' && state === 'leaving')
-				.map(({address}) => takeIp(address)),
+				.map(({address}) => parseIp(address)),
 		);
 	}
 
@@ -137,7 +137,7 @@
 		for (const host of hosts) {
 			const key = formatHostKey(host);
 			if (host.role === 'entry' && key !== this.#selfKey) {
-				this.#vouched.set(key, {host, at: now});
+				this.#reportedHosts.set(key, {host, at: now});
 			}
 		}
 
@@ -146,15 +146,15 @@
 
 	markConnected(host: Omit<KnownHost, 'role' | 'state'>): void {
 		const key = formatHostKey(host);
-		this.#contacts.set(key, {
+		this.#contactedHosts.set(key, {
 			host: {...host, role: 'entry', state: 'live'},
 			isConnected: true,
-			isLeaving: this.#contacts.get(key)?.isLeaving ?? false,
+			isLeaving: this.#contactedHosts.get(key)?.isLeaving ?? false,
 		});
 	}
 
 	markClosed(key: string, cause: CloseCause, now: number): void {
-		const contact = this.#contacts.get(key);
+		const contact = this.#contactedHosts.get(key);
 		if (contact) {
 			contact.isConnected = false;
 			contact.closed = {cause, at: now};
@@ -167,7 +167,7 @@
 			return;
 		}
 
-		const contact = this.#contacts.get(key);
+		const contact = this.#contactedHosts.get(key);
 		if (contact) {
 			contact.isLeaving = isLeaving;
 		}
@@ -176,19 +176,19 @@
 	listPeers(now: number): KnownHost[] {
 		this.#forgetOld(now);
 		const peers = new Map<string, KnownHost>();
-		for (const [key, {host}] of this.#vouched) {
+		for (const [key, {host}] of this.#reportedHosts) {
 			peers.set(key, host);
 		}
 
-		for (const [key, {host, isConnected}] of this.#contacts) {
+		for (const [key, {host, isConnected}] of this.#contactedHosts) {
 			if (isConnected || !peers.has(key)) {
 				peers.set(key, host);
 			}
 		}
 
 		// The platform's address is preferred, except to that of a connection that works.
-		for (const [key, host] of this.#listed) {
-			if (!this.#contacts.get(key)?.isConnected) {
+		for (const [key, host] of this.#listedHosts) {
+			if (!this.#contactedHosts.get(key)?.isConnected) {
 				peers.set(key, host);
 			}
 		}
@@ -198,7 +198,7 @@
 	}
 
 	listEligible(dataCentre: string, now: number): string[] {
-		const eligible = [...this.#contacts]
+		const eligible = [...this.#contactedHosts]
 			.filter(([, {host}]) => host.dataCentre === dataCentre)
 			.map(([key]) => key)
 			.filter((key) => this.isLive(key, now) && !this.#isHostLeaving(key));
@@ -214,7 +214,7 @@
 			return true;
 		}
 
-		const contact = this.#contacts.get(key);
+		const contact = this.#contactedHosts.get(key);
 		if (!contact || contact.isConnected) {
 			return contact !== undefined;
 		}
@@ -225,17 +225,17 @@
 
 	getCores(key: string): number {
 		const host =
-			key === this.#selfKey ? this.#self : this.#contacts.get(key)?.host;
+			key === this.#selfKey ? this.#self : this.#contactedHosts.get(key)?.host;
 		return host?.cores ?? defaultCores;
 	}
 
 	isWorkerLeaving(ip: string): boolean {
-		return this.#leavingWorkers.has(takeIp(ip));
+		return this.#leavingWorkers.has(parseIp(ip));
 	}
 
 	exportHosts(): KnownHost[] {
-		const hosts = new Map(this.#listed);
-		for (const [key, {host, isConnected}] of this.#contacts) {
+		const hosts = new Map(this.#listedHosts);
+		for (const [key, {host, isConnected}] of this.#contactedHosts) {
 			if (isConnected) {
 				hosts.set(key, host);
 			}
@@ -257,29 +257,29 @@
 			return this.#isSelfLeaving();
 		}
 
-		const isOwnWord = this.#contacts.get(key)?.isLeaving ?? false;
-		return isOwnWord || this.#isListedLeaving(key);
+		const isSelfReported = this.#contactedHosts.get(key)?.isLeaving ?? false;
+		return isSelfReported || this.#isListedLeaving(key);
 	}
 
 	#isListedLeaving(key: string): boolean {
-		return this.#listed.get(key)?.state === 'leaving';
+		return this.#listedHosts.get(key)?.state === 'leaving';
 	}
 
 	#forgetOld(now: number): void {
-		for (const [key, {at}] of this.#vouched) {
-			if (now - at > forgetMs) {
-				this.#vouched.delete(key);
+		for (const [key, {at}] of this.#reportedHosts) {
+			if (now - at > forgetAfterMs) {
+				this.#reportedHosts.delete(key);
 			}
 		}
 
-		for (const [key, {closed, isConnected}] of this.#contacts) {
-			if (!isConnected && closed && now - closed.at > forgetMs) {
-				this.#contacts.delete(key);
+		for (const [key, {closed, isConnected}] of this.#contactedHosts) {
+			if (!isConnected && closed && now - closed.at > forgetAfterMs) {
+				this.#contactedHosts.delete(key);
 			}
 		}
 	}
 }
 
-function takeIp(address: string): string {
+function parseIp(address: string): string {
 	return address.split(':', 1)[0]!;
 }
