--- a/packages/scheduling/src/crash-records.test.ts
+++ b/packages/scheduling/src/crash-records.test.ts
@@ -4,7 +4,7 @@
 
 const task = {job: 'job1', index: 0};
 
-test('a task is condemned by two executors that crashed under it', () => {
+test('a task is condemned once two executors have crashed under it', () => {
 	const records = createCrashRecords();
 	assert.equal(records.judge(task), 'sound');
 	assert.equal(records.addCrash(task, 'e1', 0), 1);
@@ -15,8 +15,8 @@
 	assert.equal(records.findCondemned('job2'), undefined);
 });
 
-// Guards against a crash that two hosts tell of and that counts twice.
-test('a crash that is told by several hosts counts once', () => {
+// Guards against counting a crash twice because two hosts report it.
+test('a crash that several hosts report counts once', () => {
 	const records = createCrashRecords();
 	records.addCrash(task, 'e1', 0);
 	records.learn([{...task, crashed: ['e1'], silent: []}], 5);
@@ -25,7 +25,8 @@
 	assert.equal(records.judge(task), 'suspect');
 });
 
-// Guards against tasks that are started on one executor after the other before it is known that these have crashed.
+// Guards against starting a task on one executor after another before the crash of the earlier ones is
+// confirmed.
 test('a task is held while silent executors may have crashed under it', () => {
 	const records = createCrashRecords();
 	records.addSilence(task, 'e1', 0);
@@ -38,7 +39,7 @@
 	assert.equal(records.judge(task), 'condemned');
 });
 
-// Guards against a cut to an executor that is taken for a crash.
+// Guards against taking a lost connection to an executor for a crash.
 test('an executor that answers again has not crashed', () => {
 	const records = createCrashRecords();
 	records.addSilence(task, 'e1', 0);
@@ -48,7 +49,7 @@
 	assert.equal(records.judge(task), 'sound');
 });
 
-test('a silence that is never cleared up is forgotten', () => {
+test('a silence that is neither confirmed as a crash nor cleared expires', () => {
 	const records = createCrashRecords();
 	records.addSilence(task, 'e1', 0);
 	records.addSilence(task, 'e2', 0);
@@ -59,7 +60,7 @@
 	assert.ok(records.isEmpty);
 });
 
-test('what this host found out is told for a while, and nothing that it was told', () => {
+test('crashes that this host noticed are reported for a while, those that others reported are not', () => {
 	const records = createCrashRecords();
 	records.learn([{job: 'job2', index: 3, crashed: ['e9'], silent: []}], 0);
 	assert.equal(records.listNews(0), undefined);
@@ -73,7 +74,7 @@
 	]);
 });
 
-// Guards against memory that grows with each crash for as long as the process runs.
+// Guards against memory use that grows with each crash for as long as the process runs.
 test('records are bounded in number and age', () => {
 	const records = createCrashRecords();
 	for (let index = 0; index < 5000; index += 1) {
--- a/packages/scheduling/src/crash-records.ts
+++ b/packages/scheduling/src/crash-records.ts
@@ -1,59 +1,68 @@
 /**
-The executors that crashed while a task ran there, by the ids of their lives, so that what several hosts tell of one crash counts once.
+Records which executors crashed while they ran a task. An executor has a new id after each restart, so a crash
+that several hosts report counts once.
 
-A task under which `crashLimit` executors have crashed is condemned: its job is given up everywhere. An executor that is silent until
-its lease has passed may have crashed or be out of reach, and which of these is known seconds later. Until then it
-counts against a start, so that a task is not tried again meanwhile, but condemns nobody.
+A task under which `crashLimit` executors have crashed is condemned: every host gives up its job. An executor
+that stays silent until its lease has expired may have crashed or may only be unreachable; which of the two
+becomes known seconds later. Until then the silence counts against another start of the task, but does not
+condemn it.
 */
 import {type TaskCrashes} from '@gentianshift/protocol';
 import {formatTaskKey} from './run.js';
 
-/** A task under which so many executors have crashed is not started again. */
+/** Number of crashed executors after which a task is not started again. */
 export const crashLimit = 2;
-/** Callers have given up sending a job again by then. */
+/** Callers have stopped resending a job by then. */
 const keepMs = 60_000;
-/** A silent executor has come back, or its entry in the store has lapsed, by then. */
+/** By then a silent executor has answered again, or its registration in the store has expired. */
 const silenceKeepMs = 10_000;
-/** After a change it is told to all hosts for so long: several states, and more than callers take to come again. */
+/**
+How long a crash or silence that this host noticed is included in its state messages: several messages, and
+longer than callers take to resend a job.
+*/
 const newsMs = 2000;
-/** Tasks remembered; the one that was changed longest ago goes first. */
+/** Upper bound on recorded tasks; the one that was changed longest ago is removed first. */
 const mostTasks = 2000;
-/** Tasks told with one state. */
+/** Upper bound on the tasks reported in one state message. */
 const mostNews = 50;
 
 type TaskName = {job: string; index: number};
 
 /**
-- `suspect`: an executor has crashed under it, or may have.
-- `held`: too many may have; it is not started until that is known.
-- `condemned`: it is never started again.
+- `sound`: no executor is known to have crashed or fallen silent under the task.
+- `suspect`: an executor has crashed under the task, or may have.
+- `held`: as many executors as condemn the task may have crashed; it is not started until this is known.
+- `condemned`: the task is never started again.
 */
 export type CrashVerdict = 'sound' | 'suspect' | 'held' | 'condemned';
 
 export type CrashRecords = {
 	readonly isEmpty: boolean;
-	/** Crashes that this host has blamed on tasks, each task counted. */
+	/** How many crashes this host has blamed on tasks; a crash under several tasks counts once for each. */
 	readonly blamedCount: number;
-	/** Gives how many executors have crashed under the task; undefined: this crash was known. */
+	/** Returns how many executors have crashed under the task, or undefined if this crash was known already. */
 	addCrash: (
 		task: TaskName,
 		executor: string,
 		now: number,
 	) => number | undefined;
-	/** The executor is silent, and its lease has passed. */
+	/** Records that the executor is silent and its lease has expired. */
 	addSilence: (task: TaskName, executor: string, now: number) => void;
-	/** A silent executor has crashed; gives the tasks that it was not known of. */
+	/** Records that a silent executor has crashed. Returns the tasks for which this crash was new. */
 	confirmSilence: (executor: string, now: number) => TaskName[];
-	/** The executor answers in the life that was thought over: it has not crashed. */
+	/** Removes the executor from all tasks: it answers under the same id, so it has not crashed. */
 	clearExecutor: (executor: string) => void;
-	/** What another host knows. */
+	/** Adds what another host has reported. */
 	learn: (told: readonly TaskCrashes[], now: number) => void;
 	judge: (task: TaskName) => CrashVerdict;
-	/** A task for which the job is given up. */
+	/** Returns the index of a condemned task of the job, for which the job is given up. */
 	findCondemned: (job: string) => number | undefined;
-	/** Of one job; undefined: nothing is known. */
+	/** Returns the crashes under one job's tasks; undefined if none is known. */
 	listOf: (job: string) => TaskCrashes[] | undefined;
-	/** What was found out here lately; undefined: nothing was. */
+	/**
+	Returns the tasks for which this host itself recorded a crash or a silence recently; undefined if there are
+	none.
+	*/
 	listNews: (now: number) => TaskCrashes[] | undefined;
 	forgetOld: (now: number) => void;
 };
@@ -61,9 +70,9 @@
 type Entry = {
 	task: TaskName;
 	crashed: Set<string>;
-	/** Silent executors, and since when each is known to be. */
+	/** Silent executors, and since when this host has known that they are silent. */
 	silent: Map<string, number>;
-	/** When this host, rather than another one that told of it, last changed it. */
+	/** When this host last recorded a crash or silence that it noticed itself, not one that another host reported. */
 	changedAt: number;
 	touchedAt: number;
 };
@@ -75,7 +84,7 @@
 */
 export function createCrashRecords(): CrashRecords {
 	const entries = new Map<string, Entry>();
-	/** Keys of each job's tasks. */
+	/** Keys of each job's recorded tasks. */
 	const ofJob = new Map<string, Set<string>>();
 	let blamedCount = 0;
 
@@ -95,7 +104,7 @@
 		}
 	}
 
-	/** The task's entry, made the newest one. */
+	/** Returns the task's record, created if it is missing, as the most recently changed one. */
 	function openEntry({job, index}: TaskName, now: number): Entry {
 		const key = formatTaskKey({job, index});
 		const entry: Entry = entries.get(key) ?? {
@@ -115,7 +124,7 @@
 		return entry;
 	}
 
-	/** Gives the entry if the crash was not known. */
+	/** Returns the record, or undefined if the crash was known already. */
 	function enterCrash(
 		task: TaskName,
 		executor: string,
@@ -131,7 +140,10 @@
 		return entry;
 	}
 
-	/** Told again by others, a silence does not last longer than where it was noticed. */
+	/**
+	A silence that is known keeps its time: reports repeated by other hosts must not prolong it beyond its end
+	on the host that noticed it.
+	*/
 	function enterSilence(
 		task: TaskName,
 		executor: string,
--- a/packages/scheduling/src/crash-watch.test.ts
+++ b/packages/scheduling/src/crash-watch.test.ts
@@ -35,14 +35,15 @@
 	return {watch, told};
 }
 
-test('a crash is blamed on what ran, and on what was given up in the silence before', () => {
+test('a crash is blamed on the current runs and on those given up during the silence before it', () => {
 	const {watch, told} = createWatch();
 	watch.noteLapsed([makeRun(0)]);
 	watch.noteGone([makeRun(1)]);
 	assert.deepEqual(told, ['silence 0', 'crash 0 1']);
 });
 
-// Guards against sound tasks that are blamed for a crash after they were stopped, or turned away by the executor.
+// Guards against blaming tasks for a crash although they were stopped before it, or never ran because the
+// executor refused them.
 test('a run that was stopped or refused is not blamed', () => {
 	const {watch, told} = createWatch();
 	watch.noteGone([
@@ -61,7 +62,7 @@
 	assert.deepEqual(told, ['silence 0', 'cleared']);
 });
 
-// Guards against planned ends of executors that are taken for crashes.
+// Guards against taking a planned shutdown of an executor for a crash.
 test('an executor that drains has not crashed', () => {
 	const {watch, told} = createWatch(true);
 	watch.noteLapsed([makeRun(0)]);
--- a/packages/scheduling/src/crash-watch.ts
+++ b/packages/scheduling/src/crash-watch.ts
@@ -1,24 +1,25 @@
 /**
-Tells a crash of one executor from its other ends, and which tasks it may be blamed on: those whose runs were neither proved over
-nor refused. An executor that drains is expected to leave; one that is silent may only be out of reach.
+Distinguishes a crash of one executor from a planned shutdown or a lost connection, and lists the runs that may
+have caused the crash: those that are neither proved over nor refused. A draining executor is expected to leave;
+a silent one may only be unreachable.
 */
 import {type Run} from './run.js';
 
 export type CrashWatchPorts = {
 	isDraining: () => boolean;
-	/** The executor is silent, and the lease of these runs has passed. */
+	/** The executor is silent, and the lease of these runs has expired. */
 	onSilence: (runs: readonly Run[]) => void;
-	/** The executor has not crashed, or its end was planned. */
+	/** The executor has not crashed, or its shutdown was planned. */
 	onCleared: () => void;
 	onCrash: (runs: readonly Run[]) => void;
 };
 
 export type CrashWatch = {
-	/** Runs that were given up as the executor is silent and their lease has passed. */
+	/** To be called with runs that were given up because the executor is silent and their lease has expired. */
 	noteLapsed: (runs: readonly Run[]) => void;
-	/** The executor answers in this life. */
+	/** To be called when the executor answers under the same id as before. */
 	noteAnswer: () => void;
-	/** This life of the executor is over; `runs` are those of before. */
+	/** To be called when the executor's process has ended; `runs` are those that it had until then. */
 	noteGone: (runs: readonly Run[]) => void;
 };
 
--- a/packages/scheduling/src/crashes.test.ts
+++ b/packages/scheduling/src/crashes.test.ts
@@ -1,5 +1,6 @@
 /**
-Tasks that crash their executors, at the scheduler of their group; the executors are back after two seconds, under new ids.
+How a group's scheduler handles tasks that crash their executors. A crashed executor is back after two seconds,
+under a new id.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -25,7 +26,7 @@
 	});
 }
 
-/** The most executors that an entry was told to have crashed under the task. */
+/** Largest number of executors that a message to the entry lists as crashed under the task. */
 function countCrashes(told: readonly Ends[], index = 0): number {
 	const rows = told.flatMap(({crashes = []}) => crashes);
 	return Math.max(
@@ -36,7 +37,7 @@
 	);
 }
 
-// Guards against a bad task that takes down one executor after the other for as long as its caller waits.
+// Guards against a task that crashes one executor after another for as long as its caller waits.
 test('a task is given up after two executors have crashed under it', async () => {
 	const {clock, executors, scheduler, entry} = await openCrashing();
 	scheduler.receivePart(
@@ -53,7 +54,7 @@
 	);
 });
 
-// Guards against a bad job that starts anew as its caller sends it to another entry.
+// Guards against starting a job again that was given up, because its caller resends it to another entry.
 test('a job that was given up is not started for another entry', async () => {
 	const {clock, executors, scheduler, entry} = await openCrashing();
 	scheduler.receivePart(entry, makePart(clock, {timeLeftMs: longMs}));
@@ -66,8 +67,8 @@
 	assert.equal(countCrashes(other.told), 2);
 });
 
-// Guards against a count that begins anew at each group that the task comes to.
-test('what an entry knows of crashes counts', async () => {
+// Guards against a crash count that starts at zero in each group that the task is moved to.
+test('crashes that the entry lists in a part are counted', async () => {
 	const {clock, executors, scheduler, entry} = await openCrashing();
 	const crashes = [{job: 'job1', index: 0, crashed: ['x1'], silent: []}];
 	scheduler.receivePart(entry, makePart(clock, {crashes, timeLeftMs: longMs}));
@@ -76,8 +77,8 @@
 	assert.equal(countCrashes(entry.told), 2);
 });
 
-// Guards against sound tasks that are given up for having shared executors with a bad one.
-test('sound tasks beside a bad one are done', async () => {
+// Guards against giving up tasks that caused no crash but shared an executor with one that did.
+test('tasks that shared an executor with a crashing task are completed', async () => {
 	const {clock, executors, scheduler, entry} = await openCrashing();
 	scheduler.receivePart(entry, makePart(clock, {timeLeftMs: longMs}));
 	const sound = makePart(clock, {
@@ -98,8 +99,8 @@
 	assert.equal(again.length, 1);
 });
 
-// Guards against a cut between a scheduler and its executors that is taken for crashes of these.
-test('a silent executor that answers again in the same life has not crashed', async () => {
+// Guards against taking a lost connection between the scheduler and its executors for crashes.
+test('a silent executor that answers again under the same id has not crashed', async () => {
 	const {clock, executors, scheduler, entry} = await openCrashing({
 		count: 3,
 		taskMs: 4000,
@@ -126,7 +127,7 @@
 	assert.equal(countCrashes(entry.told), 0);
 });
 
-// Guards against executors that crash one by one while it is not known yet that the first ones did.
+// Guards against crashing one executor after another while the crash of the earlier ones is not confirmed yet.
 test('a task waits while two silent executors may have crashed under it', async () => {
 	const {clock, executors, scheduler, entry} = await openCrashing({
 		getBackMs: () => 8000,
--- a/packages/scheduling/src/group-crashes.ts
+++ b/packages/scheduling/src/group-crashes.ts
@@ -1,5 +1,5 @@
 /**
-What a scheduler records and tells of executors that crashed under tasks.
+Records which executors of a group crashed under which tasks, and reports it to the entries of these jobs.
 */
 import {type Part} from '@gentianshift/protocol';
 import {type CrashRecords} from './crash-records.js';
@@ -19,13 +19,13 @@
 };
 
 export type GroupCrashes = {
-	/** Counts a crash against each task that may have run there. */
+	/** Counts the crash against the task of each of these runs. */
 	blame: (executor: string, runs: readonly Run[]) => void;
-	/** The executor is silent and the lease of its runs has passed. */
+	/** The executor is silent and the lease of its runs has expired. */
 	noteSilence: (executor: string, runs: readonly Run[]) => void;
-	/** Takes what a part's entry knows, and tells the entry what is known here. */
+	/** Adds the crashes that a part lists, and sends its entry the crashes that this host knows of. */
 	learnPart: (entry: Entry, part: Part) => void;
-	/** The jobs to be given up; their entries are told, and answer them by that. */
+	/** Returns the jobs to give up. Their entries are sent the crashes, and answer the callers on that message. */
 	takeCondemned: (jobs: Iterable<GroupJob>) => GroupJob[];
 	holdsSuspect: (executor: ExecutorSession) => boolean;
 };
@@ -60,7 +60,10 @@
 		}
 	}
 
-	/** An entry may not have heard yet that an executor of this group answers again. */
+	/**
+	Whether the executor has no open session here. An entry's report may be older than an executor's return, so
+	a crash or silence of an executor with an open session is ignored.
+	*/
 	function isOver(executor: string): boolean {
 		return !findExecutor(executor)?.isOpen;
 	}
@@ -84,7 +87,7 @@
 				}
 			}
 
-			// Runs of an earlier holder of the group, told by it.
+			// Runs that an earlier holder of the group started; that holder reported the silence.
 			crashes.confirmSilence(executor, now());
 			tellEntries(runs);
 		},
--- a/packages/scheduling/src/group-job.ts
+++ b/packages/scheduling/src/group-job.ts
@@ -1,5 +1,5 @@
 /**
-A job's tasks at one scheduler: what an entry has handed over, and how far it is.
+State of one job at a group's scheduler: the tasks that an entry has handed over, and their progress.
 */
 import {
 	type ClaimsEnded,
@@ -11,7 +11,10 @@
 import {type RankedJob} from './rank-jobs.js';
 import {entrySilenceMs} from './timing.js';
 
-/** Who handed a job over: one incarnation of a host, and how to answer it. */
+/**
+The sender of a job. An entry is a host that has accepted a job from its caller and hands its tasks to
+schedulers. A restarted host is another entry.
+*/
 export type Entry = {
 	/** `<host key>.<incarnation>`. */
 	key: string;
@@ -20,30 +23,36 @@
 
 export type GroupTask = {
 	index: number;
-	/** The entry's number of this placement. */
+	/** The entry's number for this placement of the task; higher for each later one. */
 	placement: number;
-	/** The number that the next start carries. */
+	/** Attempt number of the next start. */
 	nextAttempt: number;
 	state: 'waiting' | 'started' | 'over';
-	/** The executor of its run. */
+	/** The executor of the current run. */
 	executor?: string;
 	failures: number;
-	/** Times that it was given back, here or elsewhere, for room in another group. */
+	/** How often this or another group has returned the task to its entry because a different group had room. */
 	shifts: number;
-	/** Times that a run of it was stopped as overdue. */
+	/** How often a run of the task was stopped as overdue. */
 	moves: number;
-	/** Executors where a run of it came to nothing. */
+	/** Executors on which an earlier run of the task failed, was lost, was stopped or never began. */
 	avoid: Set<string>;
 	startedAt: number;
 };
 
 export type GroupJob = RankedJob & {
 	id: string;
-	/** Which taking of the job by its entry this is. */
+	/** When the entry accepted the job; distinguishes copies of the job that it accepted one after another. */
 	takenAtMs: number;
-	/** Which claim of the entry its tasks are here under. */
+	/**
+	Number of the claim under which the entry handed the tasks over. A claim is a lease on these tasks: it ends
+	unless the entry renews it.
+	*/
 	claim: number;
-	/** When this scheduler told the state that the entry has last answered for the claim; this host's boot time. */
+	/**
+	Send time of the latest state message of this scheduler that the entry answered for this claim, in this
+	host's boot time.
+	*/
 	renewedAt: number;
 	entry: Entry;
 	queue: string;
@@ -51,25 +60,31 @@
 	spec: string;
 	maxAttempts: number;
 	demand: TaskDemand;
-	/** When the caller no longer waits; this host's clock. */
+	/** When the caller stops waiting, on this host's clock. */
 	endsAt: number;
 	tasks: Map<number, GroupTask>;
-	/** Run times of its tasks that have ended here: their sum and number. */
+	/** Run times of the tasks that have ended here: their sum and number. */
 	ended: {sumMs: number; count: number};
-	/** A task of it has been started here. */
+	/** A task of the job has been started here. */
 	isStarted: boolean;
-	/** The entry wants nothing more of it: it is kept until its runs have ended. */
+	/** The tasks are no longer wanted here; the job is kept until its runs have ended. */
 	isDropped: boolean;
-	/** Dropped because the entry no longer renewed its claim. */
+	/** The job was dropped because the entry no longer renewed its claim. */
 	isOrphaned?: boolean;
-	/** When it came from an earlier holder of the group, under which tasks may run; undefined: it did not. */
+	/**
+	When the entry handed the job over from an earlier holder of the group, under which its tasks may still run;
+	undefined if it did not.
+	*/
 	movedAt?: number;
 };
 
-/** Of a task's estimated run time, the share that has to be left for a start: estimates are off by about 40%. */
+/**
+Share of a task's estimated run time that must be left at its start. Less than the whole, as estimates are off
+by about 40%.
+*/
 const hopelessShare = 0.6;
 
-/** Whether a task started now would not end while its caller has use for it. */
+/** Whether a task that is started now would end after its caller has stopped waiting. */
 export function isHopeless(
 	{estimateMs, endsAt}: Pick<GroupJob, 'estimateMs' | 'endsAt'>,
 	now: number,
@@ -77,7 +92,7 @@
 	return now + estimateMs * hopelessShare >= endsAt;
 }
 
-/** What the entry handed over, on this host's clock. */
+/** Creates a job without tasks from a part; durations in the part become times on this host's clock. */
 export function createGroupJob(
 	part: Part,
 	entry: Entry,
@@ -107,7 +122,7 @@
 	};
 }
 
-/** Whether its entry may have placed its tasks elsewhere. */
+/** Whether the job's claim has ended, so that its entry may have placed the tasks elsewhere. */
 export function isLapsed(
 	{renewedAt}: Pick<GroupJob, 'renewedAt'>,
 	bootTime: number,
@@ -115,7 +130,10 @@
 	return bootTime - renewedAt > entrySilenceMs;
 }
 
-/** Adds the tasks of a part that are new here; those that are known by this placement stay as they are. */
+/**
+Adds the part's tasks and returns those that were added. A known task is replaced only if it is over and the
+part holds a later placement of it.
+*/
 export function addTasks(job: GroupJob, part: Part): GroupTask[] {
 	const added: GroupTask[] = [];
 	for (const task of createPartTasks(part)) {
@@ -132,7 +150,7 @@
 	return added;
 }
 
-/** The tasks of a part, as they are when nothing of them has been started here. */
+/** Yields the tasks of a part in their initial state: waiting, none started here. */
 export function* createPartTasks({
 	tasks,
 	shifts,
--- a/packages/scheduling/src/group-scheduler.fixture.ts
+++ b/packages/scheduling/src/group-scheduler.fixture.ts
@@ -1,5 +1,5 @@
 /**
-A scheduler of fake executors and an entry that hands jobs to it, for tests on a virtual clock.
+A scheduler with fake executors, and an entry that hands jobs to it, for tests on a virtual clock.
 */
 import {type Ends, type Part, type Replaced} from '@gentianshift/protocol';
 import {
@@ -12,7 +12,10 @@
 import {createRunTimes} from './run-times.js';
 import {VirtualClock} from './virtual-clock.fixture.js';
 
-/** `told`: ends; `replaced`: answers to a message that replaces copies. */
+/**
+Creates an entry that collects the messages sent to it: ends of tasks, and answers to messages that replace
+copies.
+*/
 export function createEntry(
 	key = 'mieres_m1.0',
 ): Entry & {told: Ends[]; replaced: Replaced[]} {
@@ -42,7 +45,7 @@
 		peers = [],
 		log = () => undefined,
 	}: {
-		/** Tasks for which other groups have room. */
+		/** Number of tasks for which other groups have room. */
 		fitsElsewhere?: number;
 		isListComplete?: boolean;
 		/** Keys of the other hosts. */
@@ -64,7 +67,7 @@
 			scheduler.close();
 		},
 		onChange() {
-			// Nobody is told.
+			// These tests need no notification.
 		},
 		takeElsewhere(_cpu, tasks) {
 			const taken = Math.min(tasks, leftElsewhere);
@@ -83,7 +86,10 @@
 	return scheduler;
 }
 
-/** The first holder of a group of fake executors, which have answered it, and an entry with nothing there yet. */
+/**
+Opens the first holder of a group of fake executors, once these have answered it, and creates an entry that has
+handed over nothing yet.
+*/
 export async function openScheduler(
 	options: Parameters<typeof createFakeExecutors>[1],
 ) {
@@ -120,19 +126,25 @@
 	};
 }
 
-/** So many tasks that an entry hands over for the first time. */
+/** Makes the tasks of a part that an entry hands over for the first time. */
 export function makeTasks(count: number): Part['tasks'] {
 	return Array.from({length: count}, (_, index) => [index, 1, 1]);
 }
 
-/** A scheduler, an entry that answers its states, and the claims that it wants; else those of all parts of `makePart`. */
+/**
+A scheduler, an entry that answers its state messages, and the claims that the entry renews: by default that of
+`makePart`.
+*/
 export type Waiting = readonly [
 	scheduler: GroupScheduler,
 	entry: Entry,
 	claims?: number[],
 ];
 
-/** Time passes with the scheduler's own clock ticks and entries that still wait. */
+/**
+Advances the clock in steps of 50 ms, each with an update of the schedulers and an answer of the entries that
+still wait.
+*/
 export async function runFor(
 	clock: VirtualClock,
 	ms: number,
--- a/packages/scheduling/src/group-scheduler.test.ts
+++ b/packages/scheduling/src/group-scheduler.test.ts
@@ -1,5 +1,5 @@
 /**
-The scheduler of a group, on a virtual clock with executors that lose orders and answers.
+A group's scheduler on a virtual clock, with executors that lose orders and answers.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -17,7 +17,7 @@
 import {type GroupScheduler} from './group-scheduler.js';
 import {VirtualClock} from './virtual-clock.fixture.js';
 
-test('tasks are started where there is room and their ends are told', async () => {
+test('tasks are started where there is room, and their ends are sent to the entry', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({count: 2});
 	scheduler.receivePart(
 		entry,
@@ -33,14 +33,14 @@
 	assert.equal(executors.runs.length, 5);
 });
 
-// A start's answer is lost and the executor carries it out seconds later. The task has been placed
-// anew by then; a caller of a stock order would pay for two if the late start ran as well.
-test('a start that is carried out late does not run beside the task placed anew', async () => {
+// A start's answer is lost, and the executor carries the start out seconds later, when the task has been placed
+// again. If the late start ran as well, the task would run twice: a stock order would be paid for twice.
+test('a start that is carried out late does not run beside the same task placed again', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 2,
 		taskMs: 3000,
 	});
-	// Other runs there keep the leases renewed: a late start is not refused for a lease that has passed.
+	// Other runs keep the leases renewed, so that a late start is not refused because of an expired lease.
 	const others = makePart(clock, {
 		job: 'others',
 		tasks: makeTasks(2),
@@ -67,9 +67,9 @@
 	assert.deepEqual(findOverlaps(executors.runs), []);
 });
 
-// The host that took a job dies. Its caller sends the job again elsewhere after 1.3 s, and would
-// have its order carried out twice if the first copy still ran.
-test('what an entry handed over is stopped within a second of its last word', async () => {
+// The host that accepted a job dies. Its caller sends the job again to another host after 1.3 s; if the first
+// copy still ran then, the caller's order would be carried out twice.
+test('runs of tasks from an entry are stopped within 1.1 s of its last message', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 5000,
@@ -90,8 +90,8 @@
 	);
 });
 
-// An entry and its scheduler die at the same moment: nobody stops the tasks. Their leases must not
-// have been renewed beyond what the entry's silence allows.
+// An entry and its scheduler die at the same moment, so nobody stops the tasks. Their leases must not have been
+// renewed beyond the time that the entry's silence allows.
 test('a scheduler that dies with the entry leaves nothing running after 1.3 s', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
@@ -114,9 +114,9 @@
 	);
 });
 
-// Another host takes the group over while a task runs, and the entry hands it the job anew. The
-// run goes on under the new scheduler: a second start would be a second order.
-test('a new scheduler finds what runs and does not start it again', async () => {
+// Another host takes the group over while a task runs, and the entry hands the job to the new scheduler. The
+// run has to go on: a second start would carry the order out twice.
+test('a new scheduler finds a task that runs already and does not start it again', async () => {
 	const {
 		clock,
 		executors,
@@ -133,10 +133,10 @@
 	assert.deepEqual(listOutcomes(entry), ['done']);
 });
 
-// The old scheduler still reaches an executor that the new one does not, and runs a task there. Its
-// entry no longer waits for it there, so it stops the task in the end; until then the new one must
-// not start it elsewhere, however long it has had the group.
-test('a part that has moved waits until the old scheduler has given its runs up', async () => {
+// The old scheduler still reaches an executor that the new one does not, and runs a task there. It stops the
+// task in the end, as the entry no longer renews the claim there. Until then the new scheduler must not start
+// the task elsewhere, however long it has held the group.
+test('a part handed over from an old scheduler waits until that one has given its runs up', async () => {
 	const {
 		clock,
 		executors,
@@ -165,10 +165,10 @@
 	assert.deepEqual(findOverlaps(executors.runs), []);
 });
 
-// The store was down, and executors' entries lapsed meanwhile. A host that started during the outage
-// takes the group over as soon as the store is back; its list still lacks an executor that runs a
-// task. All that it knows of have answered, but to start the task now would run it twice.
-test('a part that has moved waits while the list of executors may lack some', async () => {
+// The store was down, and registrations of executors expired meanwhile. A host that started during the outage
+// takes the group over as soon as the store is back; its list still lacks an executor that runs a task. All
+// executors that it knows have answered, but starting the task now would run it twice.
+test('a part handed over from an old scheduler waits while the list of executors may be incomplete', async () => {
 	const {
 		clock,
 		executors,
@@ -196,7 +196,7 @@
 	assert.deepEqual(findOverlaps(executors.runs), []);
 });
 
-/** A job of two tasks each 100 ms; gives how long each took until its last end, by job. */
+/** Hands over a job of two tasks every 100 ms. Returns, by job, the outcomes and the time until the last end. */
 async function runSteadyLoad(
 	clock: VirtualClock,
 	scheduler: GroupScheduler,
@@ -240,9 +240,9 @@
 	return results;
 }
 
-// One executor of eight lets tasks stand still while it says that it is well. Its room looks the
-// freest, so every job would leave a task there and its caller would wait for nothing.
-test('an executor on which tasks stand still delays a few jobs, not all', async () => {
+// On one executor of eight all tasks hang, while it reports that it is healthy. It seems to have the most room,
+// so every job would get a task there and its caller would wait in vain.
+test('an executor on which tasks hang delays a few jobs, not all', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({count: 8});
 	executors.fakes[0]!.slowness = Infinity;
 	const results = await runSteadyLoad(clock, scheduler, entry, 40);
@@ -255,9 +255,9 @@
 	assert.deepEqual(findOverlaps(executors.runs), []);
 });
 
-// A task stands still while all other executors are busy. It is found overdue at that moment, when
-// there is no room to move it to; looked at only then, it holds its job until the caller gives up.
-test('a task that stands still is moved when there is room, also later', async () => {
+// A task hangs while all other executors are busy, so that there is no room to move it to when it is found
+// overdue. If it were checked only then, it would hold up its job until the caller gives up.
+test('a task that hangs is moved as soon as there is room, also after it was found overdue', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 2,
 		cpu: 14_000,
@@ -275,10 +275,10 @@
 	assert.deepEqual(findOverlaps(executors.runs), []);
 });
 
-// A caller's word of how long its tasks take is a third of the truth. All of them are late at once,
-// each on another sound executor. Stopped there, they begin anew elsewhere and are late again, until
-// no time is left for the job, which would have ended had it been left alone.
-test('a job whose tasks are all long is left alone', async () => {
+// A caller declares a third of the true run time. All tasks are late at once, each on another sound executor.
+// If they were stopped, they would begin again elsewhere and be late again, until no time is left for a job
+// that would have ended if left alone.
+test('a job whose tasks all take longer than declared is left alone', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 16,
 		taskMs: 2600,
@@ -297,8 +297,8 @@
 	assert.equal(executors.runs.length, 7);
 });
 
-// A lone task takes much longer than its caller said. So late that a new run could not end while its
-// caller waits, stopping it only makes certain that the caller gets nothing.
+// A job's only task takes much longer than declared. A new run could not end while the caller waits, so
+// stopping this one would only make certain that the caller gets no result.
 test('a late task is left alone when no time is left for another run', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 4,
@@ -311,9 +311,10 @@
 	assert.equal(executors.runs.length, 1);
 });
 
-// A wide job waits for room, and a caller with one short task comes. It goes first by rank; refused for
-// the wide job's work, it is turned away from a group that would serve it next.
-test('a small job is not turned away for larger ones that go after it', async () => {
+// A job with many tasks waits for room, and a job of one short task arrives. It goes first by rank; if it were
+// refused because of the larger job's work, its caller would be turned away from a group that would serve it
+// next.
+test('a small job is not refused because of larger ones that rank behind it', async () => {
 	const {clock, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 200,
@@ -344,9 +345,9 @@
 	);
 });
 
-// An executor fails all it starts, at once, so that its room is always free. Every task would pass
-// through it and use up one of its few attempts.
-test('an executor that fails all it starts gets few tasks', async () => {
+// An executor fails every task at once, so that its room is always free. Every task would be started there and
+// use up one of its few attempts.
+test('an executor that fails every task gets few tasks', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({count: 8});
 	executors.fakes[0]!.isFailing = true;
 	const results = await runSteadyLoad(clock, scheduler, entry, 40);
@@ -357,8 +358,8 @@
 	);
 });
 
-// An executor works at a sixth of its speed for a while. Tasks placed there make their jobs late.
-test('an executor that has turned slow gets few tasks while others have room', async () => {
+// An executor runs at a sixth of its speed for a while. Tasks placed there make their jobs late.
+test('an executor that has become slow gets few tasks while others have room', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({count: 8});
 	executors.fakes[0]!.slowness = 6;
 	const results = await runSteadyLoad(clock, scheduler, entry, 40);
@@ -366,9 +367,9 @@
 	assert.ok(delayed.length <= 6, `${delayed.length} of 40 were delayed`);
 });
 
-// One data centre is full while another has room for three more tasks. What waits behind long
-// tasks would be late; what is sent on starts a millisecond later.
-test('tasks that find no room go back while another group has room for them', async () => {
+// One data centre is full while others have room for three more tasks. A task that waits behind long ones would
+// be late; one that is returned can start in another data centre a millisecond later.
+test('tasks that find no room are returned while another group has room for them', async () => {
 	const clock = new VirtualClock();
 	const executors = createFakeExecutors(clock, {count: 1});
 	const scheduler = createScheduler(clock, executors, 1, {
@@ -399,10 +400,10 @@
 	assert.equal(outcomes.filter((one) => one === 'done').length, 6);
 });
 
-// A task was given back, and the entry's part came again at the same moment, as its connection had
-// been broken. The entry places the task elsewhere when it hears; started here as well, it would
-// run twice.
-test('a part that comes again does not start a task that was given back', async () => {
+// A task was returned, and at the same moment the entry sends its part again, because its connection was lost.
+// The entry places the task elsewhere when it learns of the return; if the task were started here as well, it
+// would run twice.
+test('a part that is sent again does not start a task that was returned', async () => {
 	const clock = new VirtualClock();
 	const executors = createFakeExecutors(clock, {count: 1});
 	const scheduler = createScheduler(clock, executors, 1, {
@@ -428,9 +429,9 @@
 	assert.equal(executors.runs.filter(({job}) => job === 'job1').length, 1);
 });
 
-// A flood: ten hosts each see the same gap, as the scheduler told it a moment ago, and send their
-// jobs. Let in, each makes the others late; those that can't be in time are told so at once.
-test('jobs that would be late are given back at once, the others end in time', async () => {
+// Ten hosts see the same free capacity in a state message that is a moment old, and send their jobs at once. If all
+// were admitted, each would make the others late; jobs that can't be in time are returned at once.
+test('jobs that would be late are returned at once, the others end in time', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({count: 2});
 	for (let i = 0; i < 20; i += 1) {
 		const tasks: Part['tasks'] = [
@@ -451,9 +452,9 @@
 	assert.ok(done >= 8, `${done} tasks were done in time`);
 });
 
-// The group changes hands while it is full, and the entry's part comes before the executors have
-// said what runs there. Given back for room elsewhere, the tasks would be started a second time.
-test('a new scheduler gives nothing back that runs under the old one', async () => {
+// The group changes hands while it is full, and the entry's part arrives before the executors have reported
+// their runs. If tasks were returned because another group has room, they would be started a second time.
+test('a new scheduler does not return tasks that run under the old one', async () => {
 	const {
 		clock,
 		executors,
@@ -477,9 +478,9 @@
 	assert.equal(executors.runs.length, 2);
 });
 
-// Guards against a holder that wakes from a freeze and starts a task that its entry has placed elsewhere meanwhile: the entry
-// still waits for another job.
-test('a task is not started for an entry that was silent in between', async () => {
+// A holder wakes from a pause in which its entry has placed a task elsewhere. The entry still renews the claim
+// of another job here; the task must not be started again for that.
+test('a task whose claim ended during a pause is not started again', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 5000,
--- a/packages/scheduling/src/group-scheduler.ts
+++ b/packages/scheduling/src/group-scheduler.ts
@@ -1,10 +1,11 @@
 /**
-The scheduler of a group of executors: one queue, one book of free room, and the only one that
-calls these executors while it holds the group.
+Schedules tasks on a group of executors, those of one data centre. It keeps the group's queue and the free capacity
+of its executors, and is the only one that calls these executors while it holds the group.
 
-Parts of jobs come from entries, under claims that these renew by name. A task is started when an executor has room; its end goes to
-its entry at once. A job whose claim has ended, or that is dropped, has its runs stopped. What
-can't be served in time is returned at once, so that its entry can place it elsewhere or refuse it.
+Entries hand over parts of jobs, each under a claim that the entry has to renew. A task is started when an
+executor has room, and its end is sent to its entry at once. When a job's claim has ended, or its entry drops
+it, its runs are stopped. Tasks that can't be served in time are returned at once, so that their entry can place
+them elsewhere or refuse the job.
 */
 import {
 	type Drop,
@@ -57,11 +58,14 @@
 	stateEveryMs,
 } from './timing.js';
 
-/** A start that an executor calls outdated is made again with a number this much higher: past what another copy of the job used. */
+/**
+Added to the attempt number after a start that never ran. An executor refuses a start as outdated if it knows a
+higher attempt; the next start has to be past the numbers that another copy of the job used.
+*/
 const attemptStep = 16;
-/** Updates come each 50 ms; one that is this late means that this host was paused. */
+/** Updates run each 50 ms; one that is this late means that this host was paused. */
 const pauseMs = 150;
-/** After a pause, entries that still wait have answered a state of this host by then. */
+/** Time after a pause within which entries that still wait have answered a new state message of this host. */
 const pauseAnswerMs = 2 * stateEveryMs;
 
 export type GroupPorts = {
@@ -69,30 +73,36 @@
 	group: string;
 	token: number;
 	now: () => number;
-	/** Like `now`, but counts the time for which this machine was suspended: claims go by it. */
+	/** Like `now`, but also counts the time for which this machine was suspended; claims are timed by it. */
 	readBootTime: () => number;
 	wait: (ms: number, signal: AbortSignal) => Promise<void>;
 	control: ExecutorControl;
 	runTimes: RunTimes;
 	/** Shared with the entry on the same host. */
 	crashes: CrashRecords;
-	/** An executor obeys another holder. */
+	/** An executor has answered that it obeys another holder of the group. */
 	onFenced: () => void;
-	/** Room or backlog has changed. */
+	/** The free capacity or the backlog has changed. */
 	onChange: () => void;
-	/** Takes room for tasks of this size in other groups, as far as it is known; gives for how many. */
+	/**
+	Takes room for tasks of `cpu` thousandths of a core from what this host knows to be free in other groups;
+	returns for how many of `tasks`.
+	*/
 	takeElsewhere: (cpu: number, tasks: number) => number;
-	/** The list of the group's executors lacks none whose entry may have lapsed for a while. */
+	/**
+	Whether the list of the group's executors is complete: none is missing because its registration had expired
+	for a while.
+	*/
 	isListComplete: () => boolean;
-	/** The list was read as it is now, and is not one that may lack executors that have come since. */
+	/** Whether the list is the store's current one, not an older one that may lack executors registered since. */
 	isListFresh: () => boolean;
-	/** Hosts that this one is connected to, or tries to be; their entries speak as `<host>.<incarnation>`. */
+	/** Hosts that this one is connected to or tries to reach; the key of an entry there is `<host>.<incarnation>`. */
 	listPeers: () => readonly string[];
 	/** This host is being stopped. */
 	isLeaving: () => boolean;
-	/** The host that is asked to take the group over; undefined: this one keeps it. */
+	/** The host that is asked to take over the group; undefined: this host keeps it. */
 	getSuccessor: () => string | undefined;
-	/** Since the store was last heard of, milliseconds. */
+	/** Time since this host last heard from the store, milliseconds. */
 	getStoreAgeMs: () => number;
 	log: (message: string, fields: Record<string, unknown>) => void;
 };
@@ -107,7 +117,7 @@
 	readonly #crashes: GroupCrashes;
 	readonly #openedAt: number;
 	#updatedAt = 0;
-	/** After a pause, no claim is taken for ended before. */
+	/** After a pause of this host, no claim counts as ended and no run as overdue before this time. */
 	#judgesFrom = 0;
 	#isClosed = false;
 	#isPlacing = false;
@@ -148,19 +158,22 @@
 		});
 	}
 
-	/** Every executor has answered, or has had the time to. */
+	/** Whether every executor has answered, or has had enough time to. */
 	get isReady(): boolean {
 		const age = this.ports.now() - this.#openedAt;
 		return this.#executors.isReported() || age > orphanLimitMs;
 	}
 
-	/** The group's executors as the store lists them now. */
+	/** Sets the group's executors as the store lists them now. */
 	setExecutors(executors: readonly Executor[]): void {
 		this.#executors.setListed(executors);
 		this.#place();
 	}
 
-	/** A message of an entry. One that answers another holder's state is not for this one: its entry hands over anew when it knows this one. */
+	/**
+	Handles a message of an entry. A part or a renewal that answers another holder's state message is ignored:
+	its entry hands the job over again when it learns of this holder.
+	*/
 	receive(entry: Entry, message: HolderMessage): void {
 		this.#entries.note(entry, this.ports.now());
 		switch (message.t) {
@@ -212,7 +225,7 @@
 		const job = this.#findJob(entry, part) ?? createGroupJob(part, entry, now);
 		renewClaim(job, part.stateAt);
 		if (isLapsed(job, this.ports.readBootTime())) {
-			this.ports.log('part came too late', {
+			this.ports.log('part arrived after its claim had ended', {
 				job: part.job,
 				entry: entry.key,
 				claim: part.claim,
@@ -238,7 +251,10 @@
 		this.#place();
 	}
 
-	/** Has an entry's copy of a job take the place of all others; the entry is answered when nothing of them runs. */
+	/**
+	Makes an entry's copy of a job replace all other copies; the entry is answered when nothing of those runs
+	any more.
+	*/
 	replaceCopies(entry: Entry, message: Replace): void {
 		const [first = Infinity, last = -Infinity] = message.formerTokens ?? [];
 		const {token, log} = this.ports;
@@ -255,7 +271,10 @@
 		this.#copies.replace(entry, message, first < token);
 	}
 
-	/** The entry wants nothing more of what it took, or handed over here, until then. */
+	/**
+	Drops the entry's copy of the job if it was accepted by `takenAtMs`; with `claim`, only if it is here under
+	that claim or an earlier one.
+	*/
 	dropJob(entry: Entry, {job: id, takenAtMs, claim}: Omit<Drop, 't'>): void {
 		if (claim === undefined) {
 			this.#copies.release(id, entry, takenAtMs);
@@ -272,7 +291,7 @@
 		}
 	}
 
-	/** An entry still waits for what it handed over under these claims, as of the state of this scheduler that it has read. */
+	/** Renews these claims of an entry, in answer to the state message that this scheduler sent at `stateAt`. */
 	keepClaims(
 		entry: Entry,
 		{stateAt, claims}: Pick<Keep, 'stateAt' | 'claims'>,
@@ -289,7 +308,7 @@
 
 		if (unknown.size > 0) {
 			const {token, group, log} = this.ports;
-			log('an entry waits for claims that have ended', {
+			log('entry renewed claims that have ended', {
 				entry: entry.key,
 				claims: [...unknown],
 				group,
@@ -299,7 +318,10 @@
 		}
 	}
 
-	/** What time alone brings about; to be called each 50 ms or so. */
+	/**
+	Handles what depends on time alone: ended claims, overdue runs, expired records. To be called each 50 ms or
+	so.
+	*/
 	update(): void {
 		const now = this.ports.now();
 		this.#notePause();
@@ -318,7 +340,7 @@
 		this.#place();
 	}
 
-	/** Another holder takes over: nothing more is sent, what runs goes on under its lease. */
+	/** Another holder takes over: this one sends nothing more, and runs go on under their leases. */
 	close(): void {
 		this.#isClosed = true;
 		this.#executors.closeAll();
@@ -346,13 +368,16 @@
 		};
 	}
 
-	/** Executors by state, for metrics. */
+	/** Counts executors by state, for metrics. */
 	countExecutors(): {open: number; all: number} {
 		const {sessions, listOpen} = this.#executors;
 		return {open: listOpen().length, all: sessions.size};
 	}
 
-	/** The part was held up on its way, or is of a claim that has ended: it takes no place of what is here. */
+	/**
+	Whether the part was delayed on its way, or belongs to a claim that has ended or was replaced, so that it
+	must not replace the job known here.
+	*/
 	#isOutdated(job: GroupJob, entry: Entry, part: Part): boolean {
 		if (!isOwnCopy(job, entry, part.takenAtMs)) {
 			const at = {renewedAt: part.stateAt};
@@ -367,7 +392,10 @@
 		return job.claim > part.claim;
 	}
 
-	/** A claim that has ended is not used again: its entry places the tasks of which nothing runs under another one. */
+	/**
+	A claim that has ended is not used again. Tasks of which nothing runs are returned, and their entry places
+	them under another claim.
+	*/
 	#giveBackEnded(job: GroupJob, part: Part): void {
 		const tasks = [...createPartTasks(part)].filter(
 			({index}) => !this.#executors.findRun({job: job.id, index}),
@@ -375,7 +403,10 @@
 		this.#outbox.giveBack(job, tasks, 'elsewhere', this.ports.now());
 	}
 
-	/** A job that the same entry handed over before, or one whose caller has come again elsewhere. */
+	/**
+	Finds the job that the part continues. Drops the known job if it is another copy of it, taken by an entry to
+	which the caller resent it, or under an earlier claim.
+	*/
 	#findJob(entry: Entry, part: Part): GroupJob | undefined {
 		const job = this.#jobs.get(part.job);
 		if (job && !isOwnCopy(job, entry, part.takenAtMs)) {
@@ -391,20 +422,26 @@
 		return job?.isDropped ? undefined : job;
 	}
 
-	/** The entry had taken the job's tasks away and hands them over again. */
+	/** The entry withdrew the job's tasks and has now handed them over again. */
 	#dropFormerClaim(job: GroupJob, claim: number): void {
 		if (!job.isDropped) {
-			this.ports.log('a later claim of its entry ends an earlier one', {
-				job: job.id,
-				entry: job.entry.key,
-				claim,
-				formerClaim: job.claim,
-			});
+			this.ports.log(
+				'stopping a job whose entry has handed it over again under a later claim',
+				{
+					job: job.id,
+					entry: job.entry.key,
+					claim,
+					formerClaim: job.claim,
+				},
+			);
 			this.#drop(job, this.ports.now() + orphanStopMs);
 		}
 	}
 
-	/** The job's caller came again at another host: the runs of the first copy are stopped. True: it came from an earlier holder. */
+	/**
+	Stops the runs of the known copy of a job whose caller sent it again to another host. Returns whether that
+	copy came from an earlier holder of the group.
+	*/
 	#dropOthers(
 		entry: Entry,
 		{job: id, takenAtMs}: Pick<Part, 'job' | 'takenAtMs'>,
@@ -426,14 +463,14 @@
 		return job.movedAt !== undefined;
 	}
 
-	/** An entry whose copy no longer counts has nothing to wait for. */
+	/** Tells an entry that its copy of the job was replaced, so that it stops waiting. */
 	#tellReplaced(entry: Entry, job: string, takenAtMs: number): void {
 		entry.send({t: 'replaced', job, takenAtMs, isRefused: true});
 	}
 
 	/**
-	Whether a job that would have to wait would end too late. Entries judge by what this scheduler
-	told them some time ago; at a flood each of them would fill the same gap, and all would be late.
+	Whether a job that has to wait would end too late. Entries judge by a state message that is some time old;
+	when many jobs arrive at once, each entry would use the same free capacity, and all these jobs would be late.
 	*/
 	#hasNoRoomInTime(job: GroupJob, {admitInMs, tasks}: Part): boolean {
 		const state = this.describeState();
@@ -446,7 +483,10 @@
 		return tasks.length > fits && isTooLate(job, this.#jobs.values(), limits);
 	}
 
-	/** A task that runs already under an earlier holder, or has ended there, isn't started again. */
+	/**
+	A task that an earlier holder started or ended, or whose end its entry was sent before, is not started
+	again.
+	*/
 	#claim(job: GroupJob, task: GroupTask): void {
 		if (this.#outbox.isTold(job, task)) {
 			task.state = 'over';
@@ -457,7 +497,7 @@
 		this.#claimRun(job, task);
 	}
 
-	/** Takes over the task's run, or its end, under an earlier holder of the group. */
+	/** Takes over a run of the task that an earlier holder of the group started, or the end of that run. */
 	#claimRun(job: GroupJob, task: GroupTask): void {
 		const claim = claimRun(this.#executors.sessions.values(), job, task);
 		if (claim?.type === 'ended') {
@@ -481,7 +521,7 @@
 		}
 	}
 
-	/** A run may go on no longer than its claim allows. */
+	/** Limits the lease of these runs to the time that their claims allow. */
 	#getLeaseCap(runs: Iterable<Run>): number {
 		const now = this.ports.now();
 		const bootTime = this.ports.readBootTime();
@@ -494,10 +534,10 @@
 	}
 
 	/**
-	A job whose tasks may run under an earlier holder waits until every executor has said what
-	runs there, or until that holder has given the runs up: it no longer hears from the entry,
-	which now tells this one that it waits. Right after an outage of the store, or with a list of before
-	it, an executor may be missing; then only the time counts.
+	Whether it is known which of the job's tasks run. If they may run under an earlier holder, the job waits
+	until every executor has reported its runs, or until that holder has stopped them: their entry no longer
+	renews their claim there, but here. Right after an outage of the store, or with a list read before it, an
+	executor may be missing from the list; then only the elapsed time counts.
 	*/
 	#isSettled({movedAt}: GroupJob): boolean {
 		return (
@@ -506,7 +546,7 @@
 		);
 	}
 
-	/** Entries have told this holder which copies they replace, or have had the time to. */
+	/** Whether entries have reported which copies they replace, or have had enough time to. */
 	#hasHeardEntries(): boolean {
 		const {now, listPeers} = this.ports;
 		return (
@@ -515,7 +555,7 @@
 		);
 	}
 
-	/** What an earlier holder started is known, or over as of that moment. */
+	/** Whether all runs that an earlier holder started by `at` are known, or must be over by now. */
 	#isReportedSince(at: number): boolean {
 		return (
 			this.ports.now() - at > orphanLimitMs + clockSlackMs ||
@@ -564,7 +604,7 @@
 		this.#outbox.flush();
 	}
 
-	/** Gives the executors that are left for other tasks. */
+	/** Starts suspects; returns the executors that remain for other tasks. */
 	#placeSuspects(waiting: readonly GroupJob[], now: number): ExecutorSession[] {
 		const open = this.#executors.listOpen();
 		const {crashes} = this.ports;
@@ -587,7 +627,10 @@
 		}
 	}
 
-	/** Runs that executors have reported since the job was handed over, however many have yet to report. */
+	/**
+	Takes over runs that executors have reported since the job was handed over, even while others have yet to
+	report.
+	*/
 	#claimReported(job: GroupJob): void {
 		if (job.movedAt === undefined) {
 			return;
@@ -599,9 +642,9 @@
 	}
 
 	/**
-	Waiting tasks of which nothing runs: only these may be started or given back. One that moved
-	here may run under the earlier holder until the executors have said otherwise; a run of an earlier
-	copy of the job may be on its way to being stopped.
+	Lists waiting tasks of which nothing runs: only these may be started or given back. A task that was handed
+	over from an earlier holder may still run there until the executors have reported; a run of an earlier copy
+	of the job may not be stopped yet.
 	*/
 	#listFree(job: GroupJob): GroupTask[] {
 		return this.#isSettled(job)
@@ -627,7 +670,7 @@
 		session.start({job: job.id, index: task.index, attempt}, job);
 	}
 
-	/** Gives tasks that have not been started back to the entry. */
+	/** Returns tasks that have not been started to the entry. */
 	#giveBack(
 		job: GroupJob,
 		reason: NonNullable<Ends['reason']>,
@@ -641,7 +684,7 @@
 		this.#forgetIfOver(job);
 	}
 
-	/** Others are placed once all ends of the same report are entered: the session tells of its change then. */
+	/** Starts no waiting task itself: the session calls `onChange` once all ends of a report are recorded. */
 	#endRun(run: Run, outcome: RunOutcome, session: ExecutorSession): void {
 		const job = this.#jobs.get(run.job);
 		const task = job?.tasks.get(run.index);
@@ -717,7 +760,7 @@
 		}
 	}
 
-	/** A task whose entry no longer wants it, or is silent, has stopped running. */
+	/** The run of a dropped job's task has ended. If the entry was only silent, the task is returned to it. */
 	#endDropped(job: GroupJob, task: GroupTask): void {
 		if (job.isOrphaned) {
 			task.state = 'waiting';
@@ -739,7 +782,7 @@
 		this.#forgetIfOver(job);
 	}
 
-	/** `stopBy`: when its runs have to be over. */
+	/** Drops the job and stops its runs; `stopBy`: when they have to be over. */
 	#drop(job: GroupJob, stopBy: number): void {
 		job.isDropped = true;
 		for (const task of job.tasks.values()) {
@@ -755,8 +798,8 @@
 	}
 
 	/**
-	The entry of a claim that it no longer renews is gone, or cut off, or has taken the tasks away. Should it wait for them
-	after all, it is told of each task when nothing of it runs any more.
+	Drops jobs whose claim has ended: their entry has died, is unreachable, or has withdrawn the tasks. In case
+	the entry still waits for them, each task is returned to it once nothing of that task runs any more.
 	*/
 	#dropLapsed(now: number): void {
 		for (const key of this.#entries.takeSilent(now)) {
@@ -766,7 +809,7 @@
 		const bootTime = this.ports.readBootTime();
 		for (const job of this.#jobs.values()) {
 			if (!job.isDropped && isLapsed(job, bootTime)) {
-				this.ports.log('claim has ended: stopping its job', {
+				this.ports.log('claim was not renewed in time: stopping its job', {
 					job: job.id,
 					entry: job.entry.key,
 					claim: job.claim,
@@ -782,8 +825,9 @@
 	}
 
 	/**
-	After a pause of this host, what was sent to it meanwhile has yet to be read, and entries have yet to answer a state of after it.
-	Until they do, nothing of what they had handed over is started or renewed.
+	Detects a pause of this host. Messages that arrived meanwhile have yet to be read, and entries have yet to
+	answer a state message sent after the pause. Until they do, none of the tasks that they handed over before
+	is started, and no lease of their runs is renewed.
 	*/
 	#notePause(): void {
 		const bootTime = this.ports.readBootTime();
@@ -808,12 +852,15 @@
 	}
 }
 
-/** A state that was answered earlier renews nothing. */
+/** Renews the job's claim as of `stateAt`; an answer to an earlier state message than the last one changes nothing. */
 function renewClaim(job: GroupJob, stateAt: number): void {
 	job.renewedAt = Math.max(job.renewedAt, stateAt);
 }
 
-/** An entry that takes a job anew, having dropped it, has another copy: its word to drop the former one may have been lost. */
+/**
+Whether this is the copy of the job that the entry took at that time. An entry that dropped a job and takes it
+again has another copy; its message to drop the former one may have been lost.
+*/
 function isOwnCopy(job: GroupJob, entry: Entry, takenAtMs: number): boolean {
 	return job.entry.key === entry.key && job.takenAtMs === takenAtMs;
 }
--- a/packages/scheduling/src/group-state.fixture.ts
+++ b/packages/scheduling/src/group-state.fixture.ts
@@ -1,5 +1,5 @@
 /**
-States of groups for tests: two free executors, nothing waits.
+Group states for tests: by default two free executors and no waiting work.
 */
 import {type GroupState} from '@gentianshift/protocol';
 
--- a/packages/scheduling/src/judge-run.ts
+++ b/packages/scheduling/src/judge-run.ts
@@ -1,35 +1,42 @@
 /**
-Whether a run takes longer than it should, so that its task is better started elsewhere.
+Decides whether a run takes so long that its task is better started elsewhere.
 
-For executors that are healthy by their own word and let tasks stand still, or have turned slow.
-One late task is all that shows it at first. Left alone, the task holds its job until the caller
-gives up, and the executor, whose room seems free as others fill up, draws more tasks in.
+Some executors report that they are healthy although tasks hang there, or have become slow. At first a single
+late task is the only sign. Left alone, the task holds up its job until the caller gives up; and the executor,
+which seems to have free capacity while others fill up, gets more tasks.
 
-Run times of a queue differ from job to job by about 40%, those of one job's tasks by about 15%:
-once siblings have ended, the judgement is sharper. But those that ended first are the shortest, and
-a wide job's longest task takes half as long again: a smaller factor stops runs that only take their
-time, and doubts their executors.
+Run times of a queue differ from job to job by about 40%, those of one job's tasks by about 15%, so the limit is
+more accurate once other tasks of the job have ended. But those that end first are the shortest, and the longest
+task of a job with many takes half as long again: a smaller factor would stop runs that are merely long, and
+lower the trust in their executors.
 
-A job whose tasks are late together, on several executors, is itself long: its word was wrong. Moved
-as overdue, all its tasks begin anew, twice, and the time that its caller waits runs out; its sound
-executors are doubted besides.
+If all tasks of a job are late at once, on several executors, the job itself is long and its declared run time
+was wrong. If they were moved as overdue, all its tasks would begin again, twice, the caller's waiting time
+would run out, and sound executors would be doubted.
 */
 import {type GroupJob, type GroupTask} from './group-job.js';
 
-/** Over the mean of the job's ended tasks, the shortest of 32: past five deviations. */
+/**
+Limit relative to the mean of the job's ended tasks: past five standard deviations, of 15% each, even if only
+the shortest of 32 has ended.
+*/
 const siblingFactor = 2.2;
-/** Over the estimate from the queue: past all but one job in a hundred. */
+/** Limit relative to the queue's estimate: all but one job in a hundred take less. */
 const estimateFactor = 2.5;
 /**
-Over the estimate, while all the job's runs are late on so many executors. Longer than that the caller
-of a job of usual slack does not wait; should the executors be at fault after all, there is that end.
+Limit relative to the estimate while all the job's runs are late on several executors. The caller of a job with
+the usual slack waits no longer than that; so if the executors are at fault after all, the runs are still
+stopped.
 */
 const togetherFactor = 5;
-/** With a quarter of all executors at fault, so many by chance have one job in 64. */
+/**
+Least number of executors with late runs for that. With a quarter of all executors at fault, one job in 64 has
+as many by chance.
+*/
 const togetherExecutors = 3;
-/** Added to all: an executor's answer and this host's own delays. */
+/** Added to each limit: the executor's response time and this host's own delays. */
 const allowanceMs = 25;
-/** A task is moved this often at most: after that it is the task that is long. */
+/** A task is moved this often at most: after that, the task itself is taken to be long. */
 export const maxMoves = 2;
 
 export type JudgedRun = {
@@ -41,7 +48,7 @@
 	isTogether?: boolean;
 };
 
-/** How long the run may take before it counts as overdue, milliseconds. */
+/** Computes how long the run may take before it counts as overdue, milliseconds. */
 export function computeRunLimit({
 	estimateMs,
 	siblingMs,
@@ -59,7 +66,7 @@
 	return run.elapsedMs > computeRunLimit(run);
 }
 
-/** The tasks whose runs take too long, over all jobs. */
+/** Lists the tasks whose runs are overdue, over all jobs that are not dropped. */
 export function* listOverdue(
 	jobs: Iterable<GroupJob>,
 	now: number,
--- a/packages/scheduling/src/overdue-runs.ts
+++ b/packages/scheduling/src/overdue-runs.ts
@@ -1,9 +1,10 @@
 /**
-Runs that take too long are stopped where their tasks can be started elsewhere at once.
+Stops runs that take too long, if their tasks can be started on another executor at once.
 
-For executors that let tasks stand still or have turned slow. Room elsewhere comes and goes, so each
-look judges anew whether a task can be moved; its executor's trust is lowered once a run. A run is left
-alone when no time is left for another: stopped, its job would be given up for certain.
+Executors on which tasks hang, or that have become slow, make this necessary. Whether other executors have room
+changes all the time, so each check decides again whether a task can be moved; the executor's trust is lowered
+once per run. A run goes on if no time is left for another one: if it were stopped, its job would certainly be
+given up.
 */
 import {type ExecutorSession} from './executor-session.js';
 import {isDoubted, recordOverdue} from './executor-trust.js';
@@ -20,7 +21,7 @@
 	log: (message: string, fields: Record<string, unknown>) => void;
 };
 
-/** Looks at all runs of the jobs; to be called with each update of the scheduler. */
+/** Checks all runs of the jobs; to be called with each update of the scheduler. */
 export function moveOverdue(
 	jobs: Iterable<GroupJob>,
 	sessions: Sessions,
@@ -69,7 +70,10 @@
 	}
 }
 
-/** Another sound executor, on which no run of it came to nothing, has room for the task now. */
+/**
+Whether another executor has room for the task now: one that is not doubted, and on which no earlier run of the
+task was unsuccessful.
+*/
 function isMovable(
 	{service, demand}: GroupJob,
 	{executor, avoid, moves}: GroupTask,
--- a/packages/scheduling/src/place-job.test.ts
+++ b/packages/scheduling/src/place-job.test.ts
@@ -1,5 +1,5 @@
 /**
-Where a job's tasks go among data centres, and when it is refused.
+How a job's tasks are distributed among data centres, and when the job is refused.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -38,9 +38,9 @@
 	assert.deepEqual(placed, {type: 'placed', shares: new Map([['mieres', 2]])});
 });
 
-// One wide job comes to a small group. Left there whole, half of it would wait while executors of
-// the next data centre stand idle a millisecond away.
-test('a job wider than its own data centre is split', () => {
+// A job has more tasks than a small group can run at once. If all of them stayed there, half would wait while
+// executors of the next data centre, a millisecond away, are idle.
+test('a job with more tasks than its own data centre can run at once is split', () => {
 	const placed = placeJob(
 		[makeRoom('mieres'), makeRoom('langreo')],
 		makeRequest({count: 6}),
@@ -54,17 +54,17 @@
 	});
 });
 
-// Callers of one data centre press and the others are calm: refused there, they would be sent away
-// while there is room.
+// One data centre gets many jobs and the others few. If it refused jobs, callers would be turned away although
+// other data centres have room.
 test('work is shifted to another data centre before it is refused', () => {
 	const full = makeRoom('mieres', {free: [1000], backlog: [0, 1e9, 0, 0]});
 	const placed = placeJob([full, makeRoom('langreo')], makeRequest());
 	assert.deepEqual(placed, {type: 'placed', shares: new Map([['langreo', 2]])});
 });
 
-// All executors are busy for seconds to come. A caller that is told so at once can come back; one
-// that is held until its time is over has lost it.
-test('a job that can end in time nowhere is refused at once, with when to come back', () => {
+// All executors are busy for seconds to come. A caller that is refused at once can come back in time; one that
+// waits until its deadline for a refusal can not.
+test('a job that no group can end in time is refused at once, with the time to retry after', () => {
 	const full = {free: [0, 0], backlog: [0, 1e9, 0, 0]};
 	const placed = placeJob(
 		[makeRoom('mieres', full), makeRoom('langreo', full)],
@@ -74,7 +74,7 @@
 	assert.ok(placed.type === 'refused' && placed.retryAfterMs > 1000);
 });
 
-test('urgent work does not wait behind what is less urgent', () => {
+test('urgent work does not wait behind less urgent work', () => {
 	const full = makeRoom('mieres', {free: [0], backlog: [0, 0, 1e9, 0]});
 	const urgent = placeJob([full], makeRequest({priority: 0}));
 	const patient = placeJob([full], makeRequest({priority: 2}));
@@ -82,9 +82,9 @@
 	assert.equal(patient.type, 'refused');
 });
 
-// Urgent work takes most of the group and goes on to come in. What is less urgent waits far longer
-// than the queue before it says; let in, it would be given up seconds later.
-test('the share that more urgent work takes is not counted on', () => {
+// Urgent work uses most of the group and keeps arriving. Less urgent work waits far longer than the queue
+// before it suggests; if it were admitted, it would be given up seconds later.
+test('capacity that more urgent work uses is not counted as available', () => {
 	const room = makeRoom('mieres', {
 		free: [0],
 		backlog: [0, 2_000_000, 0, 0],
@@ -94,10 +94,10 @@
 	assert.equal(placeJob([room], makeRequest({limitMs: 300})).type, 'refused');
 });
 
-// All hosts lost power for a second, and the queues are full of jobs that have waited through it and
-// will be late. A fresh job is started before them; refused for their sake, its caller is sent away from
-// executors that are about to be free.
-test('a job that can be in time is not refused for work that will be late', () => {
+// All hosts lost power for a second, and the queues are full of jobs that waited through it and will be late. A
+// new job is started before them; if it were refused because of them, its caller would be turned away although
+// executors are about to be free.
+test('a job that can be in time is not refused because of work that will be late', () => {
 	const late = {free: [0], lateBacklog: [0, 1e8, 0, 0]};
 	const fresh = placeJob([makeRoom('mieres', late)], makeRequest());
 	assert.equal(fresh.type, 'placed');
--- a/packages/scheduling/src/place-job.ts
+++ b/packages/scheduling/src/place-job.ts
@@ -1,25 +1,29 @@
 /**
-Which groups a job's tasks go to, and whether the job is refused at once.
+Chooses the groups that get a job's tasks, or refuses the job at once.
 
-For wide jobs on thin groups, and for one data centre that is fuller than the others: tasks go
-where they can start now, the entry's own data centre first, and only what finds no room anywhere
-waits, where the wait is shortest. Work is shifted before it is refused. A job is refused at once
-when the shortest wait anywhere would make it late: at saturation, jobs that are let in although they
-will be late make those late that come after them, and in the end all are.
+Tasks go where they can start now, to the entry's own data centre first. Only tasks that find no room anywhere
+wait, where the wait is shortest. So a job with more tasks than a small group can run at once is split, and work
+is moved from a full data centre to others before any is refused.
+
+A job is refused at once if the shortest wait anywhere would make it late. At saturation, a job that is admitted
+although it will be late delays the jobs that come after it, and in the end all are late.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
 import {countFits} from './room.js';
 
 export type GroupRoom = {
 	group: string;
-	/** Free thousandths of a core of each open executor. */
+	/** Free processor of each open executor, in thousandths of a core. */
 	free: readonly number[];
 	capacity: number;
-	/** Waiting work that can still be in time, by priority: thousandths of a core times milliseconds. */
+	/**
+	Work of waiting jobs that can still meet their objective, by priority: thousandths of a core times
+	milliseconds.
+	*/
 	backlog: readonly number[];
-	/** Waiting work that will be late, likewise. */
+	/** Work of waiting jobs that will be late, in the same unit. */
 	lateBacklog: readonly number[];
-	/** Thousandths of a core that run, by priority. */
+	/** Processor that running tasks use, by priority, in thousandths of a core. */
 	running: readonly number[];
 };
 
@@ -28,11 +32,11 @@
 	demand: TaskDemand;
 	priority: number;
 	estimateMs: number;
-	/** Its objective is out of reach: it goes after what can still be in time. */
+	/** The job can no longer meet its objective: it is started after jobs that can. */
 	isLate: boolean;
 	/** The entry's own data centre. */
 	home: string;
-	/** The job is refused if it would end later than this from now. */
+	/** The job is refused if it would take longer than this from now, milliseconds. */
 	limitMs: number;
 };
 
@@ -40,18 +44,18 @@
 	| {type: 'placed'; shares: Map<string, number>}
 	| {type: 'refused'; retryAfterMs: number; waitMs: number};
 
-/** The longest of a job's tasks against their estimate: eight tasks that differ by 15%. */
+/** Run time of a job's longest task relative to their estimate, for eight tasks that differ by 15%. */
 export const longestFactor = 1.2;
-/** Share of a group that a priority has at least, however much of it more urgent work takes. */
+/** Least share of a group's capacity that a priority is taken to have, however much more urgent work uses. */
 const leastShare = 0.15;
 
 /**
-How long the last of so many tasks waits for its start, milliseconds: the work that goes before it
-and its own siblings', over what the group does at once. What is more urgent goes on to come in, so
-the share of the group that such work takes now is not counted on.
+Estimates how long the last of `tasks` tasks waits for its start, in milliseconds: the work that goes before it,
+and that of the other `tasks`, divided by the capacity of the group. More urgent work keeps arriving, so the
+share of the capacity that such work uses now is left out.
 
-Work that will be late goes after work of its priority that can be in time. After an outage of a second
-the queues hold little else; counted as work that goes before, it had fresh jobs refused although they
+Work that will be late goes after work of the same priority that can still be in time. After an outage of one
+second the queues hold little else; when it was counted as going before, new jobs were refused although they
 would have been started next.
 */
 export function estimateWaitMs(
@@ -120,7 +124,7 @@
 	return {type: 'placed', shares};
 }
 
-/** Own data centre first, then the emptiest. */
+/** Sorts the entry's own data centre first, then the groups with the most free capacity. */
 function rankRooms(
 	rooms: readonly GroupRoom[],
 	{home, demand: {cpu}}: SpreadRequest,
@@ -133,7 +137,10 @@
 	});
 }
 
-/** What waits goes to all groups in proportion to what they do at once, the shortest wait first. */
+/**
+Distributes waiting tasks in proportion to capacity over the groups whose wait is close to the shortest, the
+shortest wait first.
+*/
 function setWaitingShares(
 	shares: Map<string, number>,
 	waits: ReadonlyArray<{room: GroupRoom; waitMs: number}>,
--- a/packages/scheduling/src/place-suspects.test.ts
+++ b/packages/scheduling/src/place-suspects.test.ts
@@ -18,7 +18,7 @@
 	};
 }
 
-/** A job whose first tasks, so many, are suspects. */
+/** Places a job of three tasks, of which the first `suspects` are suspects. */
 function place(
 	executors: Candidate[],
 	{
@@ -56,21 +56,21 @@
 	assert.deepEqual(left, ['e1']);
 });
 
-// Guards against suspects that wait for ever as no executor is ever idle.
+// Guards against a suspect that never starts because no executor is ever idle.
 test('the least busy executor gets nothing new while a suspect waits for it', () => {
 	const {started, left} = place([makeExecutor('e1', 2), makeExecutor('e2', 1)]);
 	assert.deepEqual(started, []);
 	assert.deepEqual(left, ['e1']);
 });
 
-test('a suspect that has no time left runs where the least is lost', () => {
+test('a suspect that has no time left runs on the least busy executor', () => {
 	const executors = [makeExecutor('e1', 2), makeExecutor('e2', 1)];
 	const {started} = place(executors, {timeLeftMs: 140});
 	assert.deepEqual(started, ['0 on e2']);
 });
 
-// Guards against a wide bad job that takes all executors away from sound tasks.
-test('a quarter of the executors are risked at a time', () => {
+// Guards against a job of many crashing tasks that takes all executors away from other tasks.
+test('suspects run on a quarter of the executors at most', () => {
 	const executors = Array.from({length: 8}, (_, i) => makeExecutor(`e${i}`, 0));
 	assert.equal(place(executors, {suspects: 3}).started.length, 2);
 	assert.equal(
--- a/packages/scheduling/src/place-suspects.ts
+++ b/packages/scheduling/src/place-suspects.ts
@@ -1,8 +1,10 @@
 /**
-Where tasks go that executors have crashed under: alone on an executor, so that another crash convicts no sound task.
+Places suspects, tasks under which an executor has crashed or may have: each alone on an executor, so that
+another crash is blamed on no other task.
 
-Sound tasks that shared an executor with the cause are suspects as well, and clear themselves by ending. How many executors are
-risked at a time is bounded. Under load none is idle by itself: the least busy one gets nothing new until it is.
+Tasks that merely shared an executor with the cause of a crash are suspects too, and are cleared when they
+complete. The number of executors put at risk at a time is bounded. Under load no executor becomes idle by
+itself, so the least busy one gets no new tasks until it is idle.
 */
 import {type CrashVerdict} from './crash-records.js';
 import {type GroupJob, type GroupTask} from './group-job.js';
@@ -10,24 +12,24 @@
 import {compareJobs} from './rank-jobs.js';
 import {hasRoom} from './room.js';
 
-/** Of all executors, those that hold suspects or are kept free for one; at least one. */
+/** Largest share of all executors that run suspects or are kept free for one; at least one executor. */
 const suspectShare = 0.25;
-/** A task that has no more time left than so many run times no longer waits to be alone. */
+/** A task whose remaining time is at most this many run times no longer waits for an idle executor. */
 const urgentRuns = 1.5;
 
 export type SuspectActions<C extends Candidate> = {
 	now: number;
 	judge: (task: {job: string; index: number}) => CrashVerdict;
-	/** A task that runs there is a suspect. */
+	/** Whether one of the executor's runs is of a suspect. */
 	holdsSuspect: (executor: C) => boolean;
-	/** Waiting tasks of which nothing runs. */
+	/** Lists waiting tasks of which nothing runs. */
 	listFree: (job: GroupJob) => GroupTask[];
 	start: (job: GroupJob, task: GroupTask, executor: C) => void;
 };
 
 type Suspect = {job: GroupJob; task: GroupTask};
 
-/** Starts suspects; gives the executors that are left for other tasks. */
+/** Starts suspects; returns the executors that remain for other tasks. */
 export function placeSuspects<C extends Candidate>(
 	jobs: readonly GroupJob[],
 	executors: readonly C[],
--- a/packages/scheduling/src/place-task.ts
+++ b/packages/scheduling/src/place-task.ts
@@ -1,9 +1,9 @@
 /**
-Where a task goes: the executor with the most room among the sound ones that have enough.
+Chooses the executor for a task: of the sound ones that have enough room, the one with the most.
 
-For thin executors that take two or three tasks each. Spreading keeps room on many executors, so
-that a wide job starts at once. An executor that has proved slow, or is doubted, is used only when
-no other has room, and not for a task that it could not end in time.
+An executor takes only two or three tasks. Spreading them keeps room on many executors, so that a job with many
+tasks can start at once. An executor that has proved slow, or is doubted, is used only when no other has room; a
+slow one never for a task that it could not end in time.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
 import {
@@ -20,7 +20,7 @@
 	capacity: TaskDemand;
 	free: TaskDemand;
 	runCount: number;
-	/** A start could carry a lease of use. Undefined: it could. */
+	/** Whether the executor's lease can be extended far enough for a new run; undefined counts as true. */
 	isExtendable?: boolean;
 	trust: ExecutorTrust;
 };
@@ -29,9 +29,9 @@
 	service: string;
 	demand: TaskDemand;
 	estimateMs: number;
-	/** Ending later is of no use. */
+	/** When the caller stops waiting: a later end is of no use. */
 	endsAt: number;
-	/** Executors where a run of the task came to nothing. */
+	/** Executors on which an earlier run of the task was unsuccessful; used only when no other has room. */
 	avoid: ReadonlySet<string>;
 };
 
@@ -80,7 +80,10 @@
 	return isFree(candidate, task, now) && isInTime;
 }
 
-/** Larger than any room: a class of executors goes before another whatever is free. */
+/**
+Weight of one demerit. Larger than any free capacity, so that an executor with fewer demerits goes before another
+however much room that has.
+*/
 const classStep = 1e9;
 
 function weighExecutor(
--- a/packages/scheduling/src/place-waiting.ts
+++ b/packages/scheduling/src/place-waiting.ts
@@ -1,9 +1,11 @@
 /**
-One round over the jobs that wait at a scheduler: in their order, each task is started where there is room, tasks that
-find none go back while another group has room for them, and jobs that can no longer end in time go back at once.
+Runs one placing round over a scheduler's waiting jobs, in their rank order. Each task is started where there is
+room. Tasks that find none are returned while another group has room for them, and jobs that can no longer end
+in time are returned at once.
 
-For saturation: what goes before a job may take longer than its caller has use for an answer. That is known when the job is
-ranked; told only when its time is over, the caller has waited for nothing, and could not come again while it was of use.
+At saturation the jobs ahead of one may take longer than its caller waits for an answer. This is known as soon
+as the jobs are ranked. If the caller were told only at its deadline, it would have waited for nothing and could
+no longer resend the job in time.
 */
 import {type Ends} from '@gentianshift/protocol';
 import {
@@ -17,16 +19,19 @@
 import {type PlacingRound} from './placing-round.js';
 import {compareJobs} from './rank-jobs.js';
 
-/** A task is given back for room elsewhere this often at most: what is told of that room is some milliseconds old. */
+/**
+A task is returned for room in another group this often at most: what is known of that room is some milliseconds
+old.
+*/
 const maxShifts = 2;
 
 export type PlacingActions<C extends Candidate> = {
-	/** Waiting tasks of which nothing runs: only these may be started or given back. */
+	/** Lists waiting tasks of which nothing runs: only these may be started or given back. */
 	listFree: (job: GroupJob) => GroupTask[];
-	/** No executor has crashed under the task. */
+	/** Whether no executor has crashed under the task, nor may have. */
 	isSound: (job: GroupJob, task: GroupTask) => boolean;
 	start: (job: GroupJob, task: GroupTask, executor: C) => void;
-	/** Without tasks named, all that are free. */
+	/** Returns tasks to their entry; without `tasks`, all that `listFree` lists. */
 	giveBack: (
 		job: GroupJob,
 		reason: NonNullable<Ends['reason']>,
@@ -58,7 +63,7 @@
 	}
 }
 
-/** How long all executors of the round are busy with the job's waiting tasks at least. */
+/** Least time for which the job's waiting tasks keep all executors of the round busy. */
 function measureWaitingMs<C extends Candidate>(
 	job: GroupJob,
 	{capacityCpu}: PlacingRound<C>,
@@ -67,7 +72,7 @@
 	return capacityCpu > 0 ? work / capacityCpu : 0;
 }
 
-/** False: there was no room for one of its tasks. */
+/** Starts the job's tasks; returns false if there was no room for one of them. */
 function startTasks<C extends Candidate>(
 	job: GroupJob,
 	{now, candidates, hasRoomFor}: PlacingRound<C>,
@@ -96,7 +101,7 @@
 	return true;
 }
 
-/** Tasks that find no room here go back while another group has room for them now. */
+/** Returns tasks that find no room here while another group has room for them now. */
 function shiftTasks<C extends Candidate>(
 	job: GroupJob,
 	{takeElsewhere}: PlacingRound<C>,
--- a/packages/scheduling/src/placing-round.test.ts
+++ b/packages/scheduling/src/placing-round.test.ts
@@ -25,9 +25,9 @@
 	};
 }
 
-// A hundred jobs wait and no executor has room. Looked through for each of them at each end of a task,
-// the executors cost the scheduler more time than the tasks are apart, and all answers come late.
-test('executors without room are looked through once for jobs of one size', () => {
+// A hundred jobs wait and no executor has room. If all executors were searched for each job at each end of a
+// task, a search would take longer than the time between two ends, and all answers would be late.
+test('executors without room are searched once for jobs of one size', () => {
 	let looks = 0;
 	const candidate = makeCandidate(10_000, () => {
 		looks += 1;
--- a/packages/scheduling/src/placing-round.ts
+++ b/packages/scheduling/src/placing-round.ts
@@ -1,21 +1,24 @@
 /**
-What one round over the waiting jobs has found out already.
+Remembers, during one placing round over the waiting jobs, for which demands no room was found.
 
-For long queues at saturation: each end of a task starts a round, and a queue of a hundred jobs that
-each look through all executors take a good part of a small host's core. Within a round room only shrinks, so where there is none for
-one job there is none for another that needs as much.
+Each end of a task starts a round. With long queues, at saturation, a hundred jobs that each search all
+executors take a good part of a small host's core. Within a round free capacity only shrinks, so if there is none
+for one job, there is none for another that needs as much.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
 import {isFree, type Candidate} from './place-task.js';
 
 export type PlacingRound<C extends Candidate> = {
 	candidates: readonly C[];
-	/** Of all candidates, thousandths of a core. */
+	/** Capacity of all candidates together, thousandths of a core. */
 	capacityCpu: number;
 	now: number;
-	/** Whether an executor that may take a task now has the room for it. */
+	/** Whether an executor that may take a task now has room for this demand. */
 	hasRoomFor: (service: string, demand: TaskDemand) => boolean;
-	/** Takes room in other groups; gives for how many tasks. */
+	/**
+	Takes room for tasks of `cpu` thousandths of a core from what is known to be free in other groups; returns
+	for how many of `tasks`.
+	*/
 	takeElsewhere: (cpu: number, tasks: number) => number;
 };
 
@@ -24,9 +27,9 @@
 	now: number,
 	takeElsewhere: (cpu: number, tasks: number) => number,
 ): PlacingRound<C> {
-	/** Of each service, the demand that found no room last. */
+	/** The last demand of each service for which no room was found. */
 	const refused = new Map<string, TaskDemand>();
-	/** Processor for which other groups have no room. */
+	/** Least processor demand, in thousandths of a core, for which other groups have no room. */
 	let refusedElsewhere = Infinity;
 	return {
 		candidates,
--- a/packages/scheduling/src/rank-jobs.test.ts
+++ b/packages/scheduling/src/rank-jobs.test.ts
@@ -1,5 +1,5 @@
 /**
-The order of waiting jobs under bursts of long and short work.
+Order of waiting jobs in bursts of long and short work.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -18,15 +18,16 @@
 	assert.ok(compareJobs(makeJob({work: 10}), makeJob({work: 20}), 0) < 0);
 });
 
-// A flood of small jobs passes by a larger one. Where the least work always goes first it waits until it
-// is late, although there was time for all.
+// Many small jobs arrive after a larger one. If the least work always went first, the larger job would wait
+// until it is late, although there was time for all.
 test('a job that has waited goes before smaller ones that came later', () => {
 	const waiting = makeJob({work: 960_000, dueAt: 200});
 	const fresh = makeJob({work: 320_000, dueAt: 300});
 	assert.ok(compareJobs(waiting, fresh, 0) < 0);
 });
 
-// At saturation some jobs are late already. Hurried, they would make those late that are not yet.
+// At saturation some jobs are late already. If they went first, jobs that can still be in time would be late
+// too.
 test('a job that can still end in time goes before one that cannot', () => {
 	const late = makeJob({work: 1, dueAt: 50});
 	assert.ok(compareJobs(makeJob(), late, 0) < 0);
--- a/packages/scheduling/src/rank-jobs.ts
+++ b/packages/scheduling/src/rank-jobs.ts
@@ -1,24 +1,24 @@
 /**
-Which waiting job's tasks go first.
+Orders waiting jobs: which job's tasks are started first.
 
-For bursts of long and short work together: the queue's priority decides first, so that urgent
-short jobs do not wait behind long ones. A job whose objective is still within reach goes
-before one that is late already, which earns little more by being hurried.
+The queue's priority decides first, so that in a burst of long and short work urgent short jobs do not wait
+behind long ones. Within a priority, a job that can still meet its objective goes before one that is late
+already, which gains little by being hurried.
 
-Within these, two rules are weighed against each other. The job with the least work first ends the most
-jobs in time when not all can be; but it lets middling jobs wait until they are late while there is room
-for all. The job first whose start can wait the least does the opposite: nearly none is late up to
-the capacity, and far beyond it most are. So each job's latest start is put off by its work, in the time that
-one executor would take for it. A job that waits moves forward, so none is passed over for ever.
+Within these, the order combines two rules. Least work first ends the most jobs in time when not all can be, but
+makes middle-sized jobs wait until they are late even while there is room for all. Earliest latest-start first
+does the opposite: nearly no job is late up to the capacity, and most are far beyond it. So a job's rank is its
+latest start plus the time that one executor takes for its remaining work. Jobs that arrive later have later
+starts, so a waiting job moves forward and none is passed over for ever.
 */
 
 export type RankedJob = {
 	priority: number;
-	/** Work left over the whole job: tasks, milliseconds and thousandths of a core multiplied. */
+	/** Remaining work of the whole job: tasks times milliseconds times thousandths of a core. */
 	work: number;
-	/** When its latency objective passes, on the scheduler's clock. */
+	/** When its latency objective is missed, on the scheduler's clock. */
 	dueAt: number;
-	/** Run time of one of its tasks. */
+	/** Estimated run time of one of its tasks, milliseconds. */
 	estimateMs: number;
 };
 
@@ -30,10 +30,10 @@
 	return now + estimateMs > dueAt;
 }
 
-/** Thousandths of a core: an executor of the usual size does that much work in a millisecond. */
+/** Size of a usual executor, thousandths of a core: the work that it does in a millisecond. */
 const executorCpu = 32_000;
 
-/** The latest start that is in time, put off by the time that one executor takes for the work left. */
+/** The latest start that is in time, plus the time that one executor takes for the remaining work. */
 function computeTurn({dueAt, estimateMs, work}: RankedJob): number {
 	return dueAt - estimateMs + work / executorCpu;
 }
--- a/packages/scheduling/src/run-book.test.ts
+++ b/packages/scheduling/src/run-book.test.ts
@@ -25,7 +25,7 @@
 
 const context = {sentAt: 10, now: 20, foundDemand: {...noDemand, cpu: 16_000}};
 
-test('a report ends runs, brings unknown ones and leaves the room that is left', () => {
+test('a report ends runs, adds unknown ones and updates the demand in use', () => {
 	const book = createRunBook();
 	const run = makeRun();
 	book.enter(run);
@@ -69,7 +69,8 @@
 	assert.ok(book.isCurrent(again));
 });
 
-// The executor was asked before it accepted the run: its answer can't have it. Taken for lost, the task would be started again.
+// The executor was asked before it accepted the run, so its answer can't list the run. If the run were taken
+// for lost, its task would be started again.
 test('a run is not missing from a report that was asked for before it was accepted', () => {
 	const book = createRunBook();
 	book.enter(makeRun({acceptedAt: 15}));
@@ -81,8 +82,8 @@
 	);
 });
 
-// More runs have ended than fit into one reply. Those whose ends are in the next one are in neither of its lists; taken for lost,
-// tasks that are done would run a second time.
+// More runs have ended than fit into one reply. Those whose ends come with the next reply are in neither list
+// of this one. If they were taken for lost, tasks that are done would run a second time.
 test('a run is not missing from a report that has more ends to come', () => {
 	const book = createRunBook();
 	book.enter(makeRun());
--- a/packages/scheduling/src/run-book.ts
+++ b/packages/scheduling/src/run-book.ts
@@ -1,11 +1,10 @@
 /**
-The runs on one executor, as the scheduler of its group knows them.
+The runs on one executor, as known to the scheduler of its group.
 
-What goes wrong: one report of the executor changes several things: runs that have ended, runs that
-an earlier holder of the group started, runs that it no longer has. Whoever acts on the first of
-these before the last is entered starts a task that the same report shows running, and it runs twice.
-So a report is entered whole, in one step that calls nobody; what it changed is given back,
-to be told to others afterwards.
+One report of the executor changes several runs: some have ended, some were started by an earlier holder of the
+group, some are missing. If others were notified of the first change before the last is recorded, they could
+start a task that the same report shows running, and it would run twice. So a report is applied as a whole, in
+one step that calls nobody; its changes are returned, and others are notified afterwards.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
 import {
@@ -20,35 +19,38 @@
 export type EndedRun = {run: Run; outcome: RunOutcome};
 
 export type ReportChange = {
-	/** Runs that are over; the book no longer has them. */
+	/** Runs that are over; they have been removed. */
 	ended: EndedRun[];
-	/** Runs that nobody here started: an earlier holder's, or starts carried out late. */
+	/**
+	Runs that this scheduler does not know: started by an earlier holder, or by a start of its own that was
+	carried out late.
+	*/
 	found: Run[];
 };
 
 export type ReportContext = {
-	/** When the executor was asked; this host's clock. */
+	/** When the executor was asked for the report, on this host's clock. */
 	sentAt: number;
 	now: number;
-	/** What a run of unknown size is taken to need. */
+	/** The demand assumed for a run whose demand is not known. */
 	foundDemand: TaskDemand;
 };
 
 export type RunBook = {
 	readonly runs: ReadonlyMap<string, Run>;
-	/** What all runs need together. */
+	/** The demand of all runs together. */
 	readonly used: TaskDemand;
-	/** Ends up to this sequence have been entered. */
+	/** Ends with sequence numbers up to this one have been recorded. */
 	readonly acknowledged: number;
 	enter: (run: Run) => void;
 	remove: (run: Run) => void;
-	/** The run is still the one that the book has of its task. */
+	/** Whether the run is still the current one of its task. */
 	isCurrent: (run: Run) => boolean;
 	resize: (run: Run, demand: TaskDemand) => void;
 	takeReport: (report: LeaseReply, context: ReportContext) => ReportChange;
-	/** It has runs, or ends of runs, that an earlier holder may have started. */
+	/** Whether there are runs, or ends of runs, that an earlier holder may have started and nobody has claimed. */
 	readonly hasUnclaimed: boolean;
-	/** The end of a run that nobody had claimed when it was listed. */
+	/** Returns, once, the end of a run of the task that was listed before anybody claimed the run. */
 	takeStrayEnd: (task: {job: string; index: number}) => RunEnd | undefined;
 	forgetOldEnds: (now: number) => void;
 };
@@ -73,7 +75,7 @@
 		used = removeDemand(used, run.demand);
 	}
 
-	/** Gives the run that has ended, if it is one of the book's. */
+	/** Records an end. Returns the run if it is a known one. */
 	function enterEnd(end: RunEnd, now: number): EndedRun | undefined {
 		if (end.sequence <= acknowledged) {
 			return undefined;
@@ -93,7 +95,7 @@
 		return {run, outcome: end.outcome};
 	}
 
-	/** Gives the run if it was not known. */
+	/** Records that a run is listed as running. Returns the run if it was not known. */
 	function enterRunning(
 		{job, index, attempt}: RunName,
 		{now, foundDemand}: ReportContext,
@@ -152,7 +154,7 @@
 			const found = report.running.flatMap(
 				(run) => enterRunning(run, context) ?? [],
 			);
-			// An end that does not fit into this report would make its run look lost.
+			// Runs whose ends do not fit into this report would be taken for lost.
 			const missing = report.hasMoreEnds
 				? []
 				: listMissing(runs, report, context.sentAt);
@@ -167,7 +169,7 @@
 	};
 }
 
-/** Runs that the executor does not list, although it was asked after they were accepted or stopped. */
+/** Lists runs that the executor does not report, although it was asked after they were accepted or stopped. */
 function listMissing(
 	runs: ReadonlyMap<string, Run>,
 	{running}: LeaseReply,
@@ -182,7 +184,7 @@
 		});
 }
 
-/** Undefined: the report may be older than the run. */
+/** Returns undefined if the report may be older than the run. */
 function judgeMissing(
 	{stoppedAt, acceptedAt}: Run,
 	sentAt: number,
--- a/packages/scheduling/src/run-orders.ts
+++ b/packages/scheduling/src/run-orders.ts
@@ -1,9 +1,9 @@
 /**
-Starts and stops sent to one executor.
+Sends starts and stops to one executor.
 
-What goes wrong: an order or its answer is lost, and the order may be carried out seconds later. A task placed again
-meanwhile runs twice; one would notice two runs of one task that overlap. So an order without an answer is not
-taken for undone: a stop of the same attempt is sent until it is answered, which also makes a late start worthless.
+An order or its answer may be lost, and the executor may still carry the order out seconds later. If the task
+has been placed again meanwhile, two runs of it overlap. So an order without an answer is not taken to have
+failed: a stop of the same attempt is sent until it is answered, which also makes a late start ineffective.
 */
 import {type Result} from 'neverthrow';
 import {type AnswerTimes} from './answer-times.js';
@@ -12,7 +12,7 @@
 import {type Run} from './run.js';
 import {dropStopMs} from './timing.js';
 
-/** Pause before a call that failed is made again. */
+/** Delay before a failed call is repeated. */
 export const retryMs = 25;
 
 export type RunOrderPorts = {
@@ -22,15 +22,15 @@
 	getToken: () => number;
 	getExecutor: () => Executor;
 	answerTimes: AnswerTimes;
-	/** The new end of the lease on the executor's clock; undefined: it can't be extended. */
+	/** Extends the lease and returns its new end on the executor's clock; undefined: the lease can't be extended. */
 	extendLease: () => number | undefined;
-	/** The run is not over yet. */
+	/** Whether the run is not over yet. */
 	isCurrent: (run: Run) => boolean;
-	/** No order is sent from then on. */
+	/** Once aborted, no further order is sent. */
 	signal: AbortSignal;
 	onClock: (clockMs: number) => void;
 	onFailure: (failure: CallFailure, call: 'start' | 'stop') => void;
-	/** A stop was answered: what ran is over, and the executor lists how. */
+	/** A stop was answered: the run is over, and the executor lists how it ended. */
 	onStopped: () => void;
 	/** It is proved that the run never began. */
 	onUnstarted: (run: Run, outcome: 'unstarted' | 'refused') => void;
@@ -39,7 +39,7 @@
 
 export type RunOrders = {
 	start: (run: Run, spec: string) => void;
-	/** `stopBy`: when the run has to be over, on this host's clock. */
+	/** Stops the run; `stopBy`: when it has to be over, on this host's clock. */
 	stop: (run: Run, stopBy: number) => void;
 };
 
@@ -119,7 +119,7 @@
 		}
 	}
 
-	/** Until it is answered or the run is over otherwise. */
+	/** Repeats the stop until it is answered or the run has ended otherwise. */
 	async function repeatStop(run: Run): Promise<void> {
 		const {job, index, attempt} = run;
 		while (isCurrent(run) && !signal.aborted) {
--- a/packages/scheduling/src/run-times.ts
+++ b/packages/scheduling/src/run-times.ts
@@ -1,12 +1,12 @@
 /**
-Learned run times of a queue's tasks.
+Estimates the run times of a queue's tasks from earlier runs.
 
-Declared run times are rough: off by half or more either way. A queue's tasks resemble each other,
-so the geometric middle between a job's own word and the queue's mean is nearer than either; the
-refusal of jobs that can't end in time rests on it.
+Declared run times are rough: off by half or more either way. A queue's tasks resemble each other, so the
+geometric mean of a job's declared run time and the queue's mean is closer than either. Refusing jobs that can't
+end in time depends on this estimate.
 */
 
-/** Weight of one more run in a queue's mean: some twenty runs, a second of a busy queue. */
+/** Weight of one run in the queue's moving mean, which covers some twenty runs: about a second of a busy queue. */
 const learnWeight = 0.05;
 
 export type RunTimes = {
--- a/packages/scheduling/src/run.ts
+++ b/packages/scheduling/src/run.ts
@@ -1,45 +1,48 @@
 /**
-A task's run on an executor, as the scheduler that started or found it knows it.
+A task's run on an executor, as known to the scheduler that started it or found it in an executor's report.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
 import {type RunName} from './executor-control.js';
 
 /**
-- `starting`: the start has no answer yet.
-- `running`: the executor has accepted it, or lists it.
-- `stopping`: a stop has to be answered before the run is known to be over.
+- `starting`: the start has not been answered yet.
+- `running`: the executor has accepted the start, or lists the run.
+- `stopping`: a stop was requested; the run is over only once a stop is answered.
 */
 export type RunState = 'starting' | 'running' | 'stopping';
 
 export type Run = RunName & {
 	demand: TaskDemand;
 	state: RunState;
-	/** How long it is expected to take, milliseconds; undefined: not known. */
+	/** Expected run time, milliseconds; undefined: not known. */
 	estimateMs?: number;
 	/** When the start was sent; for a run found at takeover, when it was found. */
 	startedAt: number;
-	/** When the executor accepted the start: lists of an earlier moment may lack it. */
+	/** When the executor accepted the start: a list of an earlier time may lack the run. */
 	acceptedAt?: number;
 	/** When the executor answered the stop: a later list without the run proves that it is over. */
 	stoppedAt?: number;
-	/** When it has to be over at the latest, once it is to be stopped: no lease goes further. */
+	/** When a run that is to be stopped has to be over at the latest: no lease is extended past it. */
 	stopBy?: number;
-	/** The executor has answered the start with a refusal, or could not be reached: it did not run. */
+	/** The executor refused the start or could not be reached, so the run never began. */
 	isRefused?: boolean;
-	/** Started by an earlier holder of the group, and not claimed by an entry. */
+	/** The run was found in a report, started by an earlier holder of the group, and no job has claimed it yet. */
 	isFound: boolean;
-	/** It has taken too long, and its executor's trust has been lowered for it. */
+	/** The run has taken too long, and its executor's trust has been lowered for it. */
 	isOverdue?: boolean;
 };
 
 /**
-How a run ended for its scheduler. `lost`: the lease passed or the executor's life ended;
-`unstarted`: it is proved that it never ran; `refused`: likewise, as its executor had no room for it.
+How a run ended for its scheduler.
+- `ended`: the executor stopped it, on an order or as its lease expired there.
+- `lost`: its lease expired or its executor's process ended, and no end was reported.
+- `unstarted`: it is proved that it never ran.
+- `refused`: it never ran, as its executor had no room for it.
 */
 export type RunOutcome =
 	'done' | 'failed' | 'ended' | 'lost' | 'unstarted' | 'refused';
 
-/** Names a task in maps. */
+/** Makes the key that stands for a task in maps. */
 export function formatTaskKey({
 	job,
 	index,
--- a/packages/scheduling/src/succession.test.ts
+++ b/packages/scheduling/src/succession.test.ts
@@ -1,5 +1,5 @@
 /**
-When a holder asks a stronger host to take its group over.
+When a holder asks a stronger host to take over its group.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -16,7 +16,7 @@
 	}
 });
 
-test('a far stronger host is asked once it has been there for a while', () => {
+test('a far stronger host is asked once it has been up for a while', () => {
 	const succession = createSuccession();
 	const choose = (now: number) =>
 		succession.choose(large, {ownCores: small, now});
@@ -25,9 +25,9 @@
 	assert.equal(choose(yieldAfterMs), large.key);
 });
 
-// A large host goes down and up by turns. Asked at each return, the group changes hands every few seconds, and
-// callers wait at each change.
-test('a stronger host that was away in between is waited for anew', () => {
+// A large host goes down and up again and again. If it were asked at each return, the group would change hands
+// every few seconds, and callers would wait at each change.
+test('the delay starts again for a stronger host that was away in between', () => {
 	const succession = createSuccession();
 	const choose = (contender: typeof large | undefined, now: number) =>
 		succession.choose(contender, {ownCores: small, now});
--- a/packages/scheduling/src/succession.ts
+++ b/packages/scheduling/src/succession.ts
@@ -1,25 +1,28 @@
 /**
-Whether a holder asks a host with far more processor to take its group over.
+Decides whether a holder asks a host with far more processor to take over its group.
 
-For fleets of unequal hosts. The scheduler is the one role that costs a host much, nearly all that the smallest hosts
-have. A group that a small host has taken, because it
-started first or the larger hosts were away, would stay there, and on the next busy seconds every job of the data
-centre waits for it. The group changes hands as in a planned stop: nothing is lost, and entries hand their parts on.
+For hosts of unequal size. The scheduler is the one role that needs much of a host: nearly all the processor of
+the smallest ones. Without this, a group that a small host took, because it started first or the larger hosts
+were down, would stay there, and at the next peak every job of the data centre would wait for it. The group
+changes hands as in a planned stop: nothing is lost, and entries hand their parts to the new holder.
 */
 
-/** A host with less than this many times the holder's processor is no gain worth a change of hands. */
+/** A host with less than this many times the holder's processor is no gain worth a change of holder. */
 export const strongerFactor = 1.5;
-/** A host that has just come may go again, and knows no executors yet: longer than its first lists take. */
+/**
+How long the stronger host has to be there before it is asked. A host that has just started may stop again, and
+knows no executors yet: reading its first lists takes less than this.
+*/
 export const yieldAfterMs = 3000;
 
 export type Contender = {
 	key: string;
-	/** Processor cores that it may use. */
+	/** Processor cores that the host may use. */
 	cores: number;
 };
 
 export type Succession = {
-	/** `strongest`: the first choice of the hosts that could hold the group; gives whom to ask. */
+	/** Returns the host to ask, or undefined. `strongest`: the first choice of the hosts that could hold the group. */
 	choose: (
 		strongest: Contender | undefined,
 		holder: {ownCores: number; now: number},
@@ -29,7 +32,7 @@
 /**
 @example
 const succession = createSuccession();
-succession.choose({key: 'mieres_m1', cores: 1.35}, {ownCores: 0.3, now: 0}); // undefined: it may just have come
+succession.choose({key: 'mieres_m1', cores: 1.35}, {ownCores: 0.3, now: 0}); // undefined: it may have just started
 succession.choose({key: 'mieres_m1', cores: 1.35}, {ownCores: 0.3, now: yieldAfterMs}); // 'mieres_m1'
 */
 export function createSuccession(): Succession {
--- a/packages/scheduling/src/takeover.test.ts
+++ b/packages/scheduling/src/takeover.test.ts
@@ -1,6 +1,6 @@
 /**
-What runs while a group changes hands or orders are lost, on a virtual clock: no task may run twice
-at a time, whichever answer is missing, old or in part.
+Runs of tasks while a group changes hands or orders are lost, on a virtual clock. Whichever answer is missing,
+late or partial, no two runs of a task may overlap.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -21,13 +21,16 @@
 import {entryWordLimitMs} from './timing.js';
 import {VirtualClock} from './virtual-clock.fixture.js';
 
-/** After its last word a job's caller may have come again elsewhere: nothing of the first copy may run then. */
+/**
+Time after which a job's caller may have sent it again to another host, once its entry has died: no run of the
+first copy may go on then.
+*/
 const resendMs = 1300;
 
-// The new holder's first look at an executor is lost, and the executor counts as silent. Its next answer ends the
-// silence and names a run. Whoever places tasks on the word that it answers again, before the run is entered,
-// starts that task a second time; the caller's chair is reserved twice.
-test('a report is entered whole before a task that moved is placed', async () => {
+// The new holder's first request to an executor is lost, and the executor counts as silent. Its next answer
+// ends the silence and lists a run. If tasks were placed as soon as it answers, before the run is recorded, the
+// task of that run would be started a second time, and the caller's chair reserved twice.
+test('a report is recorded whole before a task from an earlier holder is placed', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 2,
 		taskMs: 3000,
@@ -49,8 +52,9 @@
 	assert.equal(executors.runs.length, 1);
 });
 
-// A part comes to a new holder of whose two executors one has reported the part's run and the other is silent. Nothing of the
-// job may be started before both have answered, but the run is the part's: stopped as one that nobody wants, it would begin anew.
+// A new holder has two executors; one has reported the run of a part's task, the other is silent. No task of
+// the job may be started before both have answered, but the run belongs to the part: if it were stopped as
+// unclaimed, the task would begin again.
 test('a run is claimed although other executors have yet to report', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 2,
@@ -71,9 +75,10 @@
 	assert.equal(executors.runs.length, 1);
 });
 
-// A host dies that was a job's entry and scheduled its tasks. The host that takes the group over finds the runs, and nobody
-// will ever claim them; the caller sends the job again elsewhere, where nothing is known of them.
-test('runs that no entry claims are over before their caller comes again', async () => {
+// A host dies that was a job's entry and scheduled its tasks. The host that takes the group over finds the
+// runs, which no entry will ever claim. The caller sends the job again to another host, which knows nothing of
+// them.
+test('runs that no entry claims are over before their caller sends the job again', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 5000,
@@ -98,9 +103,10 @@
 	assert.ok(ranMs < resendMs, `it ran for ${ranMs} ms more`);
 });
 
-// The entry of a job dies, and the stops of its runs are lost again and again while the executor's renewals are answered. Other
-// runs there have their lease renewed; renewed for all, it would keep the dead entry's run going beside the job's second copy.
-test('a run whose stop is lost goes on no longer than its caller stays away', async () => {
+// The entry of a job dies, and the stops of its runs are lost again and again while the executor answers
+// renewals. The executor also runs tasks of another job, whose lease is renewed. If that renewal covered all
+// its runs, the dead entry's run would go on beside the job's second copy.
+test('a run whose stop is lost ends before its caller sends the job again', async () => {
 	let isLossy = false;
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
@@ -125,9 +131,10 @@
 	assert.ok(ranMs < resendMs, `it ran for ${ranMs} ms more`);
 });
 
-// A start has no answer, the executor goes silent and its lease passes, so the task is placed elsewhere. The executor's entry in the
-// store lapses and comes back; followed anew as if nothing were known of it, it would carry the old start out under a fresh lease.
-test('an unanswered start is settled also when its executor was dropped meanwhile', async () => {
+// A start gets no answer, the executor falls silent and its lease expires, so the task is placed elsewhere. The
+// executor's registration in the store expires and comes back. If it were followed as a new executor, it would
+// carry out the old start under a fresh lease.
+test('an unanswered start is still settled when its executor was unlisted meanwhile', async () => {
 	let lateMs = 0;
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 2,
@@ -162,8 +169,9 @@
 	assert.deepEqual(findOverlaps(executors.runs), []);
 });
 
-// An executor's entry has been missing from the store for so long that it counts as gone, although it still answers its
-// holder. The next holder will not know of it: what runs there then would be started once more.
+// An executor's registration has been missing from the store for so long that the executor counts as gone,
+// although it still answers its holder. The next holder will not know of it, and would start once more what
+// runs there.
 test('nothing is started or left running on an executor that is no longer listed', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 2,
@@ -193,9 +201,10 @@
 	assert.deepEqual(findOverlaps(executors.runs), []);
 });
 
-// A new holder finds a run, and the next thing it hears of the executor is nothing. The run goes on under the lease that the earlier
-// holder renewed a moment before; counted as over at once, its task would be started elsewhere beside it.
-test('a run that was found outlives the silence of its executor by a lease', async () => {
+// A new holder finds a run, and then its executor falls silent. The run goes on under the lease that the
+// earlier holder renewed a moment before. If it counted as over at once, its task would be started elsewhere
+// beside it.
+test('a found run counts as running until its lease expires when its executor falls silent', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 2,
 		taskMs: 3000,
@@ -215,9 +224,10 @@
 	assert.deepEqual(listOutcomes(entry), ['done']);
 });
 
-// Guards against a new holder that starts a copy of a job which a later one has replaced, as only the former holder was told. The
-// entry of the earlier copy has not read yet that its caller's connection is broken.
-test('a task that moved waits until other hosts have said which copies they replace', async () => {
+// A later copy has replaced a job's copy, but only the former holder was told. The entry of the earlier copy,
+// which does not know yet that its caller's connection is broken, hands it to the new holder, which must not
+// start it.
+test('a task from an earlier holder waits until other hosts have reported which copies they replace', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 2,
 		taskMs: 1000,
@@ -246,8 +256,8 @@
 	assert.equal(later.replaced[0]?.isRefused, false);
 });
 
-// Guards against a host that is gone holding up a group that has changed hands.
-test('a task that moved waits no longer than an exchange for hosts that say nothing', async () => {
+// Guards against a host that is down delaying a group that has changed hands.
+test('a task from an earlier holder waits at most `entryWordLimitMs` for hosts that do not answer', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({count: 1});
 	scheduler.close();
 	const second = createScheduler(clock, executors, 2, {
