--- a/packages/scheduling/src/crash-records.test.ts
+++ b/packages/scheduling/src/crash-records.test.ts
@@ -33,9 +33,9 @@
 	assert.equal(records.judge(task), 'suspect');
 	records.addSilence(task, 'e2', 0);
 	assert.equal(records.judge(task), 'held');
-	records.confirmSilence('e1', 10);
+	records.confirmCrash('e1', 10);
 	assert.equal(records.judge(task), 'held');
-	records.confirmSilence('e2', 20);
+	records.confirmCrash('e2', 20);
 	assert.equal(records.judge(task), 'condemned');
 });
 
@@ -63,12 +63,12 @@
 test('crashes that this host noticed are reported for a while, those that others reported are not', () => {
 	const records = createCrashRecords();
 	records.learn([{job: 'job2', index: 3, crashed: ['e9'], silent: []}], 0);
-	assert.equal(records.listNews(0), undefined);
+	assert.equal(records.listRecent(0), undefined);
 	records.addCrash(task, 'e1', 0);
-	assert.deepEqual(records.listNews(1000), [
+	assert.deepEqual(records.listRecent(1000), [
 		{...task, crashed: ['e1'], silent: []},
 	]);
-	assert.equal(records.listNews(3000), undefined);
+	assert.equal(records.listRecent(3000), undefined);
 	assert.deepEqual(records.listOf('job1'), [
 		{...task, crashed: ['e1'], silent: []},
 	]);
--- a/packages/scheduling/src/crash-records.ts
+++ b/packages/scheduling/src/crash-records.ts
@@ -13,18 +13,18 @@
 /** Number of crashed executors after which a task is not started again. */
 export const crashLimit = 2;
 /** Callers have stopped resending a job by then. */
-const keepMs = 60_000;
+const recordRetentionMs = 60_000;
 /** By then a silent executor has answered again, or its registration in the store has expired. */
-const silenceKeepMs = 10_000;
+const silenceRetentionMs = 10_000;
 /**
 How long a crash or silence that this host noticed is included in its state messages: several messages, and
 longer than callers take to resend a job.
 */
-const newsMs = 2000;
+const recentChangeMs = 2000;
 /** Upper bound on recorded tasks; the one that was changed longest ago is removed first. */
-const mostTasks = 2000;
+const maxRecordedTasks = 2000;
 /** Upper bound on the tasks reported in one state message. */
-const mostNews = 50;
+const maxReportedTasks = 50;
 
 type TaskName = {job: string; index: number};
 
@@ -49,11 +49,11 @@
 	/** Records that the executor is silent and its lease has expired. */
 	addSilence: (task: TaskName, executor: string, now: number) => void;
 	/** Records that a silent executor has crashed. Returns the tasks for which this crash was new. */
-	confirmSilence: (executor: string, now: number) => TaskName[];
+	confirmCrash: (executor: string, now: number) => TaskName[];
 	/** Removes the executor from all tasks: it answers under the same id, so it has not crashed. */
 	clearExecutor: (executor: string) => void;
 	/** Adds what another host has reported. */
-	learn: (told: readonly TaskCrashes[], now: number) => void;
+	learn: (reported: readonly TaskCrashes[], now: number) => void;
 	judge: (task: TaskName) => CrashVerdict;
 	/** Returns the index of a condemned task of the job, for which the job is given up. */
 	findCondemned: (job: string) => number | undefined;
@@ -63,18 +63,18 @@
 	Returns the tasks for which this host itself recorded a crash or a silence recently; undefined if there are
 	none.
 	*/
-	listNews: (now: number) => TaskCrashes[] | undefined;
+	listRecent: (now: number) => TaskCrashes[] | undefined;
 	forgetOld: (now: number) => void;
 };
 
-type Entry = {
+type CrashRecord = {
 	task: TaskName;
 	crashed: Set<string>;
 	/** Silent executors, and since when this host has known that they are silent. */
 	silent: Map<string, number>;
 	/** When this host last recorded a crash or silence that it noticed itself, not one that another host reported. */
-	changedAt: number;
-	touchedAt: number;
+	noticedAt: number;
+	updatedAt: number;
 };
 
 /**
@@ -83,73 +83,73 @@
 records.judge({job: 'a1', index: 0}); // 'suspect'
 */
 export function createCrashRecords(): CrashRecords {
-	const entries = new Map<string, Entry>();
+	const records = new Map<string, CrashRecord>();
 	/** Keys of each job's recorded tasks. */
-	const ofJob = new Map<string, Set<string>>();
+	const taskKeysByJob = new Map<string, Set<string>>();
 	let blamedCount = 0;
 
-	function drop(key: string, {task: {job}}: Entry): void {
-		entries.delete(key);
-		const keys = ofJob.get(job);
+	function deleteRecord(key: string, {task: {job}}: CrashRecord): void {
+		records.delete(key);
+		const keys = taskKeysByJob.get(job);
 		keys?.delete(key);
 		if (keys?.size === 0) {
-			ofJob.delete(job);
+			taskKeysByJob.delete(job);
 		}
 	}
 
-	function dropBeyondLimit(): void {
-		const [oldest] = entries;
-		if (oldest && entries.size > mostTasks) {
-			drop(...oldest);
+	function deleteOldestBeyondLimit(): void {
+		const [oldest] = records;
+		if (oldest && records.size > maxRecordedTasks) {
+			deleteRecord(...oldest);
 		}
 	}
 
 	/** Returns the task's record, created if it is missing, as the most recently changed one. */
-	function openEntry({job, index}: TaskName, now: number): Entry {
+	function refreshRecord({job, index}: TaskName, now: number): CrashRecord {
 		const key = formatTaskKey({job, index});
-		const entry: Entry = entries.get(key) ?? {
+		const record: CrashRecord = records.get(key) ?? {
 			task: {job, index},
 			crashed: new Set(),
 			silent: new Map(),
-			changedAt: -Infinity,
-			touchedAt: now,
+			noticedAt: -Infinity,
+			updatedAt: now,
 		};
-		entry.touchedAt = now;
-		entries.delete(key);
-		entries.set(key, entry);
-		const keys = ofJob.get(job) ?? new Set();
+		record.updatedAt = now;
+		records.delete(key);
+		records.set(key, record);
+		const keys = taskKeysByJob.get(job) ?? new Set();
 		keys.add(key);
-		ofJob.set(job, keys);
-		dropBeyondLimit();
-		return entry;
+		taskKeysByJob.set(job, keys);
+		deleteOldestBeyondLimit();
+		return record;
 	}
 
 	/** Returns the record, or undefined if the crash was known already. */
-	function enterCrash(
+	function recordCrash(
 		task: TaskName,
 		executor: string,
 		now: number,
-	): Entry | undefined {
-		if (entries.get(formatTaskKey(task))?.crashed.has(executor)) {
+	): CrashRecord | undefined {
+		if (records.get(formatTaskKey(task))?.crashed.has(executor)) {
 			return undefined;
 		}
 
-		const entry = openEntry(task, now);
-		entry.silent.delete(executor);
-		entry.crashed.add(executor);
-		return entry;
+		const record = refreshRecord(task, now);
+		record.silent.delete(executor);
+		record.crashed.add(executor);
+		return record;
 	}
 
 	/**
 	A silence that is known keeps its time: reports repeated by other hosts must not prolong it beyond its end
 	on the host that noticed it.
 	*/
-	function enterSilence(
+	function recordSilence(
 		task: TaskName,
 		executor: string,
 		now: number,
-	): Entry | undefined {
-		const known = entries.get(formatTaskKey(task));
+	): CrashRecord | undefined {
+		const known = records.get(formatTaskKey(task));
 		const isKnown =
 			known !== undefined &&
 			(known.crashed.has(executor) || known.silent.has(executor));
@@ -157,9 +157,9 @@
 			return undefined;
 		}
 
-		const entry = openEntry(task, now);
-		entry.silent.set(executor, now);
-		return entry;
+		const record = refreshRecord(task, now);
+		record.silent.set(executor, now);
+		return record;
 	}
 
 	function addCrash(
@@ -167,31 +167,31 @@
 		executor: string,
 		now: number,
 	): number | undefined {
-		const entry = enterCrash(task, executor, now);
-		if (entry) {
-			entry.changedAt = now;
+		const record = recordCrash(task, executor, now);
+		if (record) {
+			record.noticedAt = now;
 			blamedCount += 1;
 		}
 
-		return entry?.crashed.size;
+		return record?.crashed.size;
 	}
 
 	return {
 		get isEmpty() {
-			return entries.size === 0;
+			return records.size === 0;
 		},
 		get blamedCount() {
 			return blamedCount;
 		},
 		addCrash,
 		addSilence(task, executor, now) {
-			const entry = enterSilence(task, executor, now);
-			if (entry) {
-				entry.changedAt = now;
+			const record = recordSilence(task, executor, now);
+			if (record) {
+				record.noticedAt = now;
 			}
 		},
-		confirmSilence(executor, now) {
-			const tasks = [...entries.values()]
+		confirmCrash(executor, now) {
+			const tasks = [...records.values()]
 				.filter(({silent}) => silent.has(executor))
 				.map(({task}) => task);
 			return tasks.filter(
@@ -199,68 +199,68 @@
 			);
 		},
 		clearExecutor(executor) {
-			for (const entry of entries.values()) {
-				entry.crashed.delete(executor);
-				entry.silent.delete(executor);
+			for (const record of records.values()) {
+				record.crashed.delete(executor);
+				record.silent.delete(executor);
 			}
 		},
-		learn(told, now) {
-			for (const {job, index, crashed, silent} of told) {
+		learn(reported, now) {
+			for (const {job, index, crashed, silent} of reported) {
 				for (const executor of crashed) {
-					enterCrash({job, index}, executor, now);
+					recordCrash({job, index}, executor, now);
 				}
 
 				for (const executor of silent) {
-					enterSilence({job, index}, executor, now);
+					recordSilence({job, index}, executor, now);
 				}
 			}
 		},
 		judge(task) {
-			const entry = entries.get(formatTaskKey(task));
-			return entry ? judgeEntry(entry) : 'sound';
+			const record = records.get(formatTaskKey(task));
+			return record ? judgeRecord(record) : 'sound';
 		},
 		findCondemned(job) {
-			for (const key of ofJob.get(job) ?? []) {
-				const entry = entries.get(key)!;
-				if (judgeEntry(entry) === 'condemned') {
-					return entry.task.index;
+			for (const key of taskKeysByJob.get(job) ?? []) {
+				const record = records.get(key)!;
+				if (judgeRecord(record) === 'condemned') {
+					return record.task.index;
 				}
 			}
 
 			return undefined;
 		},
 		listOf(job) {
-			const keys = [...(ofJob.get(job) ?? [])];
-			return toRows(keys.map((key) => entries.get(key)!));
+			const keys = [...(taskKeysByJob.get(job) ?? [])];
+			return toTaskCrashes(keys.map((key) => records.get(key)!));
 		},
-		listNews(now) {
-			if (entries.size === 0) {
+		listRecent(now) {
+			if (records.size === 0) {
 				return undefined;
 			}
 
-			const news = [...entries.values()].filter(
-				({changedAt}) => now - changedAt <= newsMs,
+			const recent = [...records.values()].filter(
+				({noticedAt}) => now - noticedAt <= recentChangeMs,
 			);
-			return toRows(news.slice(-mostNews));
+			return toTaskCrashes(recent.slice(-maxReportedTasks));
 		},
 		forgetOld(now) {
-			for (const [key, entry] of entries) {
-				for (const [executor, at] of entry.silent) {
-					if (now - at > silenceKeepMs) {
-						entry.silent.delete(executor);
+			for (const [key, record] of records) {
+				for (const [executor, at] of record.silent) {
+					if (now - at > silenceRetentionMs) {
+						record.silent.delete(executor);
 					}
 				}
 
-				const isBlank = entry.crashed.size + entry.silent.size === 0;
-				if (isBlank || now - entry.touchedAt > keepMs) {
-					drop(key, entry);
+				const isUnused = record.crashed.size + record.silent.size === 0;
+				if (isUnused || now - record.updatedAt > recordRetentionMs) {
+					deleteRecord(key, record);
 				}
 			}
 		},
 	};
 }
 
-function judgeEntry({crashed, silent}: Entry): CrashVerdict {
+function judgeRecord({crashed, silent}: CrashRecord): CrashVerdict {
 	if (crashed.size >= crashLimit) {
 		return 'condemned';
 	}
@@ -272,8 +272,10 @@
 	return crashed.size + silent.size > 0 ? 'suspect' : 'sound';
 }
 
-function toRows(entries: readonly Entry[]): TaskCrashes[] | undefined {
-	const rows = entries
+function toTaskCrashes(
+	records: readonly CrashRecord[],
+): TaskCrashes[] | undefined {
+	const rows = records
 		.filter(({crashed, silent}) => crashed.size + silent.size > 0)
 		.map(({task, crashed, silent}) => ({
 			...task,
--- a/packages/scheduling/src/crash-watch.test.ts
+++ b/packages/scheduling/src/crash-watch.test.ts
@@ -18,54 +18,54 @@
 }
 
 function createWatch(isDraining = false) {
-	const told: string[] = [];
+	const calls: string[] = [];
 	const list = (runs: readonly Run[]) => runs.map(({index}) => index).join(' ');
 	const watch = createCrashWatch({
 		isDraining: () => isDraining,
 		onSilence(runs) {
-			told.push(`silence ${list(runs)}`);
+			calls.push(`silence ${list(runs)}`);
 		},
 		onCleared() {
-			told.push('cleared');
+			calls.push('cleared');
 		},
 		onCrash(runs) {
-			told.push(`crash ${list(runs)}`);
+			calls.push(`crash ${list(runs)}`);
 		},
 	});
-	return {watch, told};
+	return {watch, calls};
 }
 
 test('a crash is blamed on the current runs and on those given up during the silence before it', () => {
-	const {watch, told} = createWatch();
+	const {watch, calls} = createWatch();
 	watch.noteLapsed([makeRun(0)]);
 	watch.noteGone([makeRun(1)]);
-	assert.deepEqual(told, ['silence 0', 'crash 0 1']);
+	assert.deepEqual(calls, ['silence 0', 'crash 0 1']);
 });
 
 // Guards against blaming tasks for a crash although they were stopped before it, or never ran because the
 // executor refused them.
 test('a run that was stopped or refused is not blamed', () => {
-	const {watch, told} = createWatch();
+	const {watch, calls} = createWatch();
 	watch.noteGone([
 		makeRun(0, {stoppedAt: 10}),
 		makeRun(1, {isRefused: true}),
 		makeRun(2, {state: 'stopping'}),
 	]);
-	assert.deepEqual(told, ['crash 2']);
+	assert.deepEqual(calls, ['crash 2']);
 });
 
 test('an executor that answers again is cleared', () => {
-	const {watch, told} = createWatch();
+	const {watch, calls} = createWatch();
 	watch.noteLapsed([makeRun(0)]);
 	watch.noteAnswer();
 	watch.noteGone([]);
-	assert.deepEqual(told, ['silence 0', 'cleared']);
+	assert.deepEqual(calls, ['silence 0', 'cleared']);
 });
 
 // Guards against taking a planned shutdown of an executor for a crash.
 test('an executor that drains has not crashed', () => {
-	const {watch, told} = createWatch(true);
+	const {watch, calls} = createWatch(true);
 	watch.noteLapsed([makeRun(0)]);
 	watch.noteGone([makeRun(1)]);
-	assert.deepEqual(told, ['cleared']);
+	assert.deepEqual(calls, ['cleared']);
 });
--- a/packages/scheduling/src/crash-watch.ts
+++ b/packages/scheduling/src/crash-watch.ts
@@ -24,22 +24,22 @@
 };
 
 export function createCrashWatch(ports: CrashWatchPorts): CrashWatch {
-	let lapsed: readonly Run[] = [];
+	let expiredRuns: readonly Run[] = [];
 	return {
 		noteLapsed(runs) {
 			const suspects = pickSuspects(runs);
-			lapsed = [...lapsed, ...suspects];
+			expiredRuns = [...expiredRuns, ...suspects];
 			if (suspects.length > 0 && !ports.isDraining()) {
 				ports.onSilence(suspects);
 			}
 		},
 		noteAnswer() {
-			lapsed = [];
+			expiredRuns = [];
 			ports.onCleared();
 		},
 		noteGone(runs) {
-			const suspects = [...lapsed, ...pickSuspects(runs)];
-			lapsed = [];
+			const suspects = [...expiredRuns, ...pickSuspects(runs)];
+			expiredRuns = [];
 			if (ports.isDraining()) {
 				ports.onCleared();
 			} else if (suspects.length > 0) {
--- a/packages/scheduling/src/group-crashes.ts
+++ b/packages/scheduling/src/group-crashes.ts
@@ -20,20 +20,20 @@
 
 export type GroupCrashes = {
 	/** Counts the crash against the task of each of these runs. */
-	blame: (executor: string, runs: readonly Run[]) => void;
+	blameRuns: (executor: string, runs: readonly Run[]) => void;
 	/** The executor is silent and the lease of its runs has expired. */
-	noteSilence: (executor: string, runs: readonly Run[]) => void;
+	recordSilence: (executor: string, runs: readonly Run[]) => void;
 	/** Adds the crashes that a part lists, and sends its entry the crashes that this host knows of. */
-	learnPart: (entry: Entry, part: Part) => void;
+	recordPartCrashes: (entry: Entry, part: Part) => void;
 	/** Returns the jobs to give up. Their entries are sent the crashes, and answer the callers on that message. */
-	takeCondemned: (jobs: Iterable<GroupJob>) => GroupJob[];
-	holdsSuspect: (executor: ExecutorSession) => boolean;
+	takeCondemnedJobs: (jobs: Iterable<GroupJob>) => GroupJob[];
+	hasSuspectRun: (executor: ExecutorSession) => boolean;
 };
 
 export function createGroupCrashes(ports: GroupCrashPorts): GroupCrashes {
 	const {group, token, now, crashes, findJob, findExecutor, log} = ports;
 
-	function tellEntry(
+	function sendCrashes(
 		entry: Entry,
 		{id, claim, isStarted}: Pick<GroupJob, 'id' | 'claim' | 'isStarted'>,
 	): void {
@@ -51,11 +51,11 @@
 		}
 	}
 
-	function tellEntries(runs: readonly Run[]): void {
+	function sendCrashesToEntries(runs: readonly Run[]): void {
 		for (const id of new Set(runs.map(({job}) => job))) {
 			const job = findJob(id);
 			if (job) {
-				tellEntry(job.entry, job);
+				sendCrashes(job.entry, job);
 			}
 		}
 	}
@@ -64,12 +64,12 @@
 	Whether the executor has no open session here. An entry's report may be older than an executor's return, so
 	a crash or silence of an executor with an open session is ignored.
 	*/
-	function isOver(executor: string): boolean {
+	function hasNoOpenSession(executor: string): boolean {
 		return !findExecutor(executor)?.isOpen;
 	}
 
 	return {
-		blame(executor, runs) {
+		blameRuns(executor, runs) {
 			for (const run of runs) {
 				const count = crashes.addCrash(run, executor, now());
 				if (count !== undefined) {
@@ -88,28 +88,28 @@
 			}
 
 			// Runs that an earlier holder of the group started; that holder reported the silence.
-			crashes.confirmSilence(executor, now());
-			tellEntries(runs);
+			crashes.confirmCrash(executor, now());
+			sendCrashesToEntries(runs);
 		},
-		noteSilence(executor, runs) {
+		recordSilence(executor, runs) {
 			for (const run of runs) {
 				crashes.addSilence(run, executor, now());
 			}
 
-			tellEntries(runs);
+			sendCrashesToEntries(runs);
 		},
-		learnPart(entry, {job, claim, crashes: told = []}) {
+		recordPartCrashes(entry, {job, claim, crashes: reported = []}) {
 			crashes.learn(
-				told.map((row) => ({
+				reported.map((row) => ({
 					...row,
-					crashed: row.crashed.filter((id) => isOver(id)),
-					silent: row.silent.filter((id) => isOver(id)),
+					crashed: row.crashed.filter((id) => hasNoOpenSession(id)),
+					silent: row.silent.filter((id) => hasNoOpenSession(id)),
 				})),
 				now(),
 			);
-			tellEntry(entry, {id: job, claim, isStarted: false});
+			sendCrashes(entry, {id: job, claim, isStarted: false});
 		},
-		takeCondemned(jobs) {
+		takeCondemnedJobs(jobs) {
 			if (crashes.isEmpty) {
 				return [];
 			}
@@ -128,11 +128,11 @@
 					executors: crashes.listOf(job.id)?.find(({index}) => index === task)
 						?.crashed,
 				});
-				tellEntry(job.entry, job);
+				sendCrashes(job.entry, job);
 				return true;
 			});
 		},
-		holdsSuspect: ({runs}) =>
+		hasSuspectRun: ({runs}) =>
 			!crashes.isEmpty &&
 			[...runs.values()].some((run) => crashes.judge(run) !== 'sound'),
 	};
--- a/packages/scheduling/src/group-job.ts
+++ b/packages/scheduling/src/group-job.ts
@@ -61,10 +61,10 @@
 	maxAttempts: number;
 	demand: TaskDemand;
 	/** When the caller stops waiting, on this host's clock. */
-	endsAt: number;
+	deadlineAt: number;
 	tasks: Map<number, GroupTask>;
 	/** Run times of the tasks that have ended here: their sum and number. */
-	ended: {sumMs: number; count: number};
+	endedRunTimes: {sumMs: number; count: number};
 	/** A task of the job has been started here. */
 	isStarted: boolean;
 	/** The tasks are no longer wanted here; the job is kept until its runs have ended. */
@@ -82,14 +82,14 @@
 Share of a task's estimated run time that must be left at its start. Less than the whole, as estimates are off
 by about 40%.
 */
-const hopelessShare = 0.6;
+const minTimeLeftShare = 0.6;
 
 /** Whether a task that is started now would end after its caller has stopped waiting. */
-export function isHopeless(
-	{estimateMs, endsAt}: Pick<GroupJob, 'estimateMs' | 'endsAt'>,
+export function isPastLatestStart(
+	{estimateMs, deadlineAt}: Pick<GroupJob, 'estimateMs' | 'deadlineAt'>,
 	now: number,
 ): boolean {
-	return now + estimateMs * hopelessShare >= endsAt;
+	return now + estimateMs * minTimeLeftShare >= deadlineAt;
 }
 
 /** Creates a job without tasks from a part; durations in the part become times on this host's clock. */
@@ -111,11 +111,12 @@
 		maxAttempts: part.maxAttempts,
 		demand: part.demand,
 		estimateMs: part.estimateMs,
-		work: part.remaining * part.estimateMs * Math.max(1, part.demand.cpu),
+		remainingWork:
+			part.remaining * part.estimateMs * Math.max(1, part.demand.cpu),
 		dueAt: now + part.dueInMs,
-		endsAt: now + part.timeLeftMs,
+		deadlineAt: now + part.timeLeftMs,
 		tasks: new Map(),
-		ended: {sumMs: 0, count: 0},
+		endedRunTimes: {sumMs: 0, count: 0},
 		isStarted: false,
 		isDropped: false,
 		movedAt: part.isMoved ? now : undefined,
@@ -123,7 +124,7 @@
 }
 
 /** Whether the job's claim has ended, so that its entry may have placed the tasks elsewhere. */
-export function isLapsed(
+export function hasClaimEnded(
 	{renewedAt}: Pick<GroupJob, 'renewedAt'>,
 	bootTime: number,
 ): boolean {
--- a/packages/scheduling/src/group-scheduler.fixture.ts
+++ b/packages/scheduling/src/group-scheduler.fixture.ts
@@ -40,20 +40,20 @@
 	{control, executors}: FakeExecutors,
 	token: number,
 	{
-		fitsElsewhere = 0,
+		roomElsewhere = 0,
 		isListComplete = true,
 		peers = [],
 		log = () => undefined,
 	}: {
 		/** Number of tasks for which other groups have room. */
-		fitsElsewhere?: number;
+		roomElsewhere?: number;
 		isListComplete?: boolean;
 		/** Keys of the other hosts. */
 		peers?: readonly string[];
 		log?: (message: string, fields: Record<string, unknown>) => void;
 	} = {},
 ): GroupScheduler {
-	let leftElsewhere = fitsElsewhere;
+	let roomLeftElsewhere = roomElsewhere;
 	const scheduler = new GroupScheduler({
 		group: 'mieres',
 		token,
@@ -70,8 +70,8 @@
 			// These tests need no notification.
 		},
 		takeElsewhere(_cpu, tasks) {
-			const taken = Math.min(tasks, leftElsewhere);
-			leftElsewhere -= taken;
+			const taken = Math.min(tasks, roomLeftElsewhere);
+			roomLeftElsewhere -= taken;
 			return taken;
 		},
 		listPeers: () => peers,
@@ -135,7 +135,7 @@
 A scheduler, an entry that answers its state messages, and the claims that the entry renews: by default that of
 `makePart`.
 */
-export type Waiting = readonly [
+export type AnsweringEntry = readonly [
 	scheduler: GroupScheduler,
 	entry: Entry,
 	claims?: number[],
@@ -148,7 +148,7 @@
 export async function runFor(
 	clock: VirtualClock,
 	ms: number,
-	waiting: readonly Waiting[],
+	waiting: readonly AnsweringEntry[],
 ): Promise<void> {
 	for (let passed = 0; passed < ms; passed += 50) {
 		for (const [scheduler, entry, claims = [1]] of waiting) {
--- a/packages/scheduling/src/group-scheduler.test.ts
+++ b/packages/scheduling/src/group-scheduler.test.ts
@@ -76,7 +76,7 @@
 	});
 	scheduler.receivePart(entry, makePart(clock, {timeLeftMs: 10_000}));
 	await runFor(clock, 300, [[scheduler, entry]]);
-	const lastWordAt = clock.now - 50;
+	const lastMessageAt = clock.now - 50;
 	for (let i = 0; i < 30; i += 1) {
 		scheduler.update();
 		await clock.run(50);
@@ -85,8 +85,8 @@
 	const [run] = executors.runs;
 	assert.equal(run?.outcome, 'ended');
 	assert.ok(
-		run.endedAt! - lastWordAt < 1100,
-		`${run.endedAt! - lastWordAt} ms`,
+		run.endedAt! - lastMessageAt < 1100,
+		`${run.endedAt! - lastMessageAt} ms`,
 	);
 });
 
@@ -99,7 +99,7 @@
 	});
 	scheduler.receivePart(entry, makePart(clock, {timeLeftMs: 10_000}));
 	await runFor(clock, 500, [[scheduler, entry]]);
-	const lastWordAt = clock.now - 50;
+	const lastMessageAt = clock.now - 50;
 	for (let i = 0; i < 15; i += 1) {
 		scheduler.update();
 		await clock.run(50);
@@ -109,8 +109,8 @@
 	await clock.run(2000);
 	const [run] = executors.runs;
 	assert.ok(
-		run!.endedAt! - lastWordAt < 1300,
-		`${run!.endedAt! - lastWordAt} ms`,
+		run!.endedAt! - lastMessageAt < 1300,
+		`${run!.endedAt! - lastMessageAt} ms`,
 	);
 });
 
@@ -203,14 +203,14 @@
 	entry: ReturnType<typeof createEntry>,
 	jobs: number,
 ): Promise<Map<string, {outcomes: string[]; tookMs: number}>> {
-	const begun = new Map<string, number>();
+	const startedAt = new Map<string, number>();
 	const results = new Map<string, {outcomes: string[]; tookMs: number}>();
 	let read = 0;
-	const readTold = () => {
+	const readEnds = () => {
 		for (const {job, ends} of entry.told.slice(read)) {
 			const known = results.get(job) ?? {outcomes: [], tookMs: 0};
 			known.outcomes.push(...ends.map(({outcome}) => outcome));
-			known.tookMs = clock.now - begun.get(job)!;
+			known.tookMs = clock.now - startedAt.get(job)!;
 			results.set(job, known);
 		}
 
@@ -219,7 +219,7 @@
 
 	for (let i = 0; i < jobs; i += 1) {
 		const job = `job${i}`;
-		begun.set(job, clock.now);
+		startedAt.set(job, clock.now);
 		scheduler.receivePart(
 			entry,
 			makePart(clock, {
@@ -229,12 +229,12 @@
 			}),
 		);
 		await runFor(clock, 100, [[scheduler, entry]]);
-		readTold();
+		readEnds();
 	}
 
 	for (let i = 0; i < 40; i += 1) {
 		await runFor(clock, 50, [[scheduler, entry]]);
-		readTold();
+		readEnds();
 	}
 
 	return results;
@@ -373,7 +373,7 @@
 	const clock = new VirtualClock();
 	const executors = createFakeExecutors(clock, {count: 1});
 	const scheduler = createScheduler(clock, executors, 1, {
-		fitsElsewhere: 3,
+		roomElsewhere: 3,
 	});
 	const entry = createEntry();
 	await clock.run(10);
@@ -407,7 +407,7 @@
 	const clock = new VirtualClock();
 	const executors = createFakeExecutors(clock, {count: 1});
 	const scheduler = createScheduler(clock, executors, 1, {
-		fitsElsewhere: 1,
+		roomElsewhere: 1,
 	});
 	const entry = createEntry();
 	await clock.run(10);
@@ -469,7 +469,7 @@
 	first.receivePart(entry, part);
 	await runFor(clock, 200, [[first, entry]]);
 	const second = createScheduler(clock, executors, 2, {
-		fitsElsewhere: 5,
+		roomElsewhere: 5,
 	});
 	const moved = {...part, stateAt: clock.now, isMoved: true, admitInMs: 100};
 	second.receivePart(entry, moved);
--- a/packages/scheduling/src/group-scheduler.ts
+++ b/packages/scheduling/src/group-scheduler.ts
@@ -30,7 +30,7 @@
 	createGroupJob,
 	createPartTasks,
 	hasWaiting,
-	isLapsed,
+	hasClaimEnded,
 	listWaiting,
 	type Entry,
 	type GroupJob,
@@ -40,7 +40,7 @@
 import {type HolderMessage} from './holder-contacts.js';
 import {createJobCopies, type JobCopies} from './job-copies.js';
 import {computeLeaseCap} from './lease-cap.js';
-import {moveOverdue} from './overdue-runs.js';
+import {moveOverdueTasks} from './overdue-runs.js';
 import {placeSuspects} from './place-suspects.js';
 import {placeWaiting} from './place-waiting.js';
 import {isTooLate, measureLoad} from './measure-load.js';
@@ -62,11 +62,11 @@
 Added to the attempt number after a start that never ran. An executor refuses a start as outdated if it knows a
 higher attempt; the next start has to be past the numbers that another copy of the job used.
 */
-const attemptStep = 16;
+const unstartedAttemptStep = 16;
 /** Updates run each 50 ms; one that is this late means that this host was paused. */
-const pauseMs = 150;
+const pauseDetectionMs = 150;
 /** Time after a pause within which entries that still wait have answered a new state message of this host. */
-const pauseAnswerMs = 2 * stateEveryMs;
+const pauseGraceMs = 2 * stateEveryMs;
 
 export type GroupPorts = {
 	/** The data centre whose executors these are. */
@@ -118,7 +118,7 @@
 	readonly #openedAt: number;
 	#updatedAt = 0;
 	/** After a pause of this host, no claim counts as ended and no run as overdue before this time. */
-	#judgesFrom = 0;
+	#checksClaimsFrom = 0;
 	#isClosed = false;
 	#isPlacing = false;
 
@@ -134,12 +134,12 @@
 		});
 		this.#copies = createJobCopies({
 			now: ports.now,
-			dropOthers: (entry, message) => this.#dropOthers(entry, message),
+			dropOthers: (entry, message) => this.#dropOtherCopies(entry, message),
 			listCrashes: ports.crashes.listOf,
 			mayRun: (job, isMoved) =>
 				this.#executors.hasRunOf(job) ||
-				!this.#hasHeardEntries() ||
-				(isMoved && !this.#isReportedSince(this.#openedAt)),
+				!this.#hasHeardFromEntries() ||
+				(isMoved && !this.#hasReportsSince(this.#openedAt)),
 		});
 		this.#executors = createExecutorSet({
 			...ports,
@@ -148,11 +148,11 @@
 			onRunEnd: (run, outcome, session) => {
 				this.#endRun(run, outcome, session);
 			},
-			onCrash: this.#crashes.blame,
-			onSilence: this.#crashes.noteSilence,
+			onCrash: this.#crashes.blameRuns,
+			onSilence: this.#crashes.recordSilence,
 			onCleared: ports.crashes.clearExecutor,
 			onChange: () => {
-				this.#place();
+				this.#runPlacingRound();
 				ports.onChange();
 			},
 		});
@@ -167,7 +167,7 @@
 	/** Sets the group's executors as the store lists them now. */
 	setExecutors(executors: readonly Executor[]): void {
 		this.#executors.setListed(executors);
-		this.#place();
+		this.#runPlacingRound();
 	}
 
 	/**
@@ -207,24 +207,25 @@
 
 	receivePart(entry: Entry, part: Part): void {
 		const now = this.ports.now();
-		this.#crashes.learnPart(entry, part);
+		this.#crashes.recordPartCrashes(entry, part);
 		if (this.ports.crashes.findCondemned(part.job) !== undefined) {
 			return;
 		}
 
 		if (this.#copies.isReplaced(part.job, entry)) {
-			this.#tellReplaced(entry, part.job, part.takenAtMs);
+			this.#sendReplaced(entry, part.job, part.takenAtMs);
 			return;
 		}
 
 		const former = this.#jobs.get(part.job);
-		if (former && this.#isOutdated(former, entry, part)) {
+		if (former && this.#isOutdatedPart(former, entry, part)) {
 			return;
 		}
 
-		const job = this.#findJob(entry, part) ?? createGroupJob(part, entry, now);
+		const job =
+			this.#reconcileKnownJob(entry, part) ?? createGroupJob(part, entry, now);
 		renewClaim(job, part.stateAt);
-		if (isLapsed(job, this.ports.readBootTime())) {
+		if (hasClaimEnded(job, this.ports.readBootTime())) {
 			this.ports.log('part arrived after its claim had ended', {
 				job: part.job,
 				entry: entry.key,
@@ -241,14 +242,14 @@
 		this.#outbox.tellAgain(job, part);
 		const added = addTasks(job, part);
 		for (const task of added) {
-			this.#claim(job, task);
+			this.#claimTask(job, task);
 		}
 
 		if (!job.isStarted && !part.isMoved && this.#hasNoRoomInTime(job, part)) {
 			this.#giveBack(job, 'full');
 		}
 
-		this.#place();
+		this.#runPlacingRound();
 	}
 
 	/**
@@ -286,8 +287,8 @@
 			job.takenAtMs <= takenAtMs &&
 			job.claim <= (claim ?? Infinity);
 		if (isMeant) {
-			this.#drop(job, this.ports.now() + dropStopMs);
-			this.#place();
+			this.#dropAndStop(job, this.ports.now() + dropStopMs);
+			this.#runPlacingRound();
 		}
 	}
 
@@ -324,10 +325,10 @@
 	*/
 	update(): void {
 		const now = this.ports.now();
-		this.#notePause();
-		if (now >= this.#judgesFrom) {
-			this.#dropLapsed(now);
-			moveOverdue(this.#jobs.values(), this.#executors.sessions, {
+		this.#checkPause();
+		if (now >= this.#checksClaimsFrom) {
+			this.#dropEndedClaims(now);
+			moveOverdueTasks(this.#jobs.values(), this.#executors.sessions, {
 				now,
 				log: this.ports.log,
 			});
@@ -337,7 +338,7 @@
 		this.#copies.forgetOld();
 		this.ports.crashes.forgetOld(now);
 		this.#executors.closeUnlisted(now);
-		this.#place();
+		this.#runPlacingRound();
 	}
 
 	/** Another holder takes over: this one sends nothing more, and runs go on under their leases. */
@@ -358,13 +359,13 @@
 			isReleased: this.#isClosed,
 			storeAgeMs: this.ports.getStoreAgeMs(),
 			free: open.map((session) =>
-				hasRoom(session.free, noDemand) && !this.#crashes.holdsSuspect(session)
+				hasRoom(session.free, noDemand) && !this.#crashes.hasSuspectRun(session)
 					? session.free.cpu
 					: 0,
 			),
 			capacity: open.reduce((sum, {capacity}) => sum + capacity.cpu, 0),
 			...measureLoad(this.#jobs.values(), this.ports.now()),
-			crashes: this.ports.crashes.listNews(this.ports.now()),
+			crashes: this.ports.crashes.listRecent(this.ports.now()),
 		};
 	}
 
@@ -378,14 +379,14 @@
 	Whether the part was delayed on its way, or belongs to a claim that has ended or was replaced, so that it
 	must not replace the job known here.
 	*/
-	#isOutdated(job: GroupJob, entry: Entry, part: Part): boolean {
-		if (!isOwnCopy(job, entry, part.takenAtMs)) {
+	#isOutdatedPart(job: GroupJob, entry: Entry, part: Part): boolean {
+		if (!isSameCopy(job, entry, part.takenAtMs)) {
 			const at = {renewedAt: part.stateAt};
-			return !job.isDropped && isLapsed(at, this.ports.readBootTime());
+			return !job.isDropped && hasClaimEnded(at, this.ports.readBootTime());
 		}
 
 		if (job.claim === part.claim && job.isDropped) {
-			this.#giveBackEnded(job, part);
+			this.#giveBackForEndedClaim(job, part);
 			return true;
 		}
 
@@ -396,7 +397,7 @@
 	A claim that has ended is not used again. Tasks of which nothing runs are returned, and their entry places
 	them under another claim.
 	*/
-	#giveBackEnded(job: GroupJob, part: Part): void {
+	#giveBackForEndedClaim(job: GroupJob, part: Part): void {
 		const tasks = [...createPartTasks(part)].filter(
 			({index}) => !this.#executors.findRun({job: job.id, index}),
 		);
@@ -407,10 +408,10 @@
 	Finds the job that the part continues. Drops the known job if it is another copy of it, taken by an entry to
 	which the caller resent it, or under an earlier claim.
 	*/
-	#findJob(entry: Entry, part: Part): GroupJob | undefined {
+	#reconcileKnownJob(entry: Entry, part: Part): GroupJob | undefined {
 		const job = this.#jobs.get(part.job);
-		if (job && !isOwnCopy(job, entry, part.takenAtMs)) {
-			this.#dropOthers(entry, part);
+		if (job && !isSameCopy(job, entry, part.takenAtMs)) {
+			this.#dropOtherCopies(entry, part);
 			return undefined;
 		}
 
@@ -434,7 +435,7 @@
 					formerClaim: job.claim,
 				},
 			);
-			this.#drop(job, this.ports.now() + orphanStopMs);
+			this.#dropAndStop(job, this.ports.now() + orphanStopMs);
 		}
 	}
 
@@ -442,12 +443,12 @@
 	Stops the runs of the known copy of a job whose caller sent it again to another host. Returns whether that
 	copy came from an earlier holder of the group.
 	*/
-	#dropOthers(
+	#dropOtherCopies(
 		entry: Entry,
 		{job: id, takenAtMs}: Pick<Part, 'job' | 'takenAtMs'>,
 	): boolean {
 		const job = this.#jobs.get(id);
-		if (!job || job.isDropped || isOwnCopy(job, entry, takenAtMs)) {
+		if (!job || job.isDropped || isSameCopy(job, entry, takenAtMs)) {
 			return job?.movedAt !== undefined;
 		}
 
@@ -458,13 +459,13 @@
 			group: this.ports.group,
 			token: this.ports.token,
 		});
-		this.#tellReplaced(job.entry, id, job.takenAtMs);
-		this.#drop(job, this.ports.now() + dropStopMs);
+		this.#sendReplaced(job.entry, id, job.takenAtMs);
+		this.#dropAndStop(job, this.ports.now() + dropStopMs);
 		return job.movedAt !== undefined;
 	}
 
 	/** Tells an entry that its copy of the job was replaced, so that it stops waiting. */
-	#tellReplaced(entry: Entry, job: string, takenAtMs: number): void {
+	#sendReplaced(entry: Entry, job: string, takenAtMs: number): void {
 		entry.send({t: 'replaced', job, takenAtMs, isRefused: true});
 	}
 
@@ -487,18 +488,18 @@
 	A task that an earlier holder started or ended, or whose end its entry was sent before, is not started
 	again.
 	*/
-	#claim(job: GroupJob, task: GroupTask): void {
+	#claimTask(job: GroupJob, task: GroupTask): void {
 		if (this.#outbox.isTold(job, task)) {
 			task.state = 'over';
-			this.#forgetIfOver(job);
+			this.#removeIfOver(job);
 			return;
 		}
 
-		this.#claimRun(job, task);
+		this.#takeOverRun(job, task);
 	}
 
 	/** Takes over a run of the task that an earlier holder of the group started, or the end of that run. */
-	#claimRun(job: GroupJob, task: GroupTask): void {
+	#takeOverRun(job: GroupJob, task: GroupTask): void {
 		const claim = claimRun(this.#executors.sessions.values(), job, task);
 		if (claim?.type === 'ended') {
 			this.#endTask(job, task, {outcome: 'done', attempt: claim.attempt});
@@ -539,15 +540,15 @@
 	renews their claim there, but here. Right after an outage of the store, or with a list read before it, an
 	executor may be missing from the list; then only the elapsed time counts.
 	*/
-	#isSettled({movedAt}: GroupJob): boolean {
+	#isRunStateKnown({movedAt}: GroupJob): boolean {
 		return (
 			movedAt === undefined ||
-			(this.#isReportedSince(movedAt) && this.#hasHeardEntries())
+			(this.#hasReportsSince(movedAt) && this.#hasHeardFromEntries())
 		);
 	}
 
 	/** Whether entries have reported which copies they replace, or have had enough time to. */
-	#hasHeardEntries(): boolean {
+	#hasHeardFromEntries(): boolean {
 		const {now, listPeers} = this.ports;
 		return (
 			now() - this.#openedAt > entryWordLimitMs ||
@@ -556,7 +557,7 @@
 	}
 
 	/** Whether all runs that an earlier holder started by `at` are known, or must be over by now. */
-	#isReportedSince(at: number): boolean {
+	#hasReportsSince(at: number): boolean {
 		return (
 			this.ports.now() - at > orphanLimitMs + clockSlackMs ||
 			(this.ports.isListComplete() &&
@@ -565,7 +566,7 @@
 		);
 	}
 
-	#place(): void {
+	#runPlacingRound(): void {
 		if (this.#isClosed || this.#isPlacing) {
 			return;
 		}
@@ -575,23 +576,24 @@
 		const bootTime = this.ports.readBootTime();
 		this.#giveUpCondemned(now);
 		const wanted = [...this.#jobs.values()].filter(
-			(job) => !job.isDropped && hasWaiting(job) && !isLapsed(job, bootTime),
+			(job) =>
+				!job.isDropped && hasWaiting(job) && !hasClaimEnded(job, bootTime),
 		);
 		for (const job of wanted) {
-			this.#claimReported(job);
+			this.#takeOverReported(job);
 		}
 
-		const waiting = wanted.filter((job) => this.#isSettled(job));
+		const waiting = wanted.filter((job) => this.#isRunStateKnown(job));
 		const open = this.#placeSuspects(waiting, now);
 		placeWaiting(
 			waiting,
 			createPlacingRound(open, now, this.ports.takeElsewhere),
 			{
-				listFree: (job) => this.#listFree(job),
+				listStartable: (job) => this.#listStartable(job),
 				isSound: ({id}, {index}) =>
 					this.ports.crashes.judge({job: id, index}) === 'sound',
 				start: (job, task, session) => {
-					this.#start(job, task, session);
+					this.#startTask(job, task, session);
 				},
 				giveBack: (job, reason, tasks) => {
 					this.#giveBack(job, reason, tasks);
@@ -613,17 +615,17 @@
 			: placeSuspects(waiting, open, {
 					now,
 					judge: crashes.judge,
-					holdsSuspect: this.#crashes.holdsSuspect,
-					listFree: (job) => this.#listFree(job),
+					hasSuspectRun: this.#crashes.hasSuspectRun,
+					listStartable: (job) => this.#listStartable(job),
 					start: (job, task, session) => {
-						this.#start(job, task, session);
+						this.#startTask(job, task, session);
 					},
 				});
 	}
 
 	#giveUpCondemned(now: number): void {
-		for (const job of this.#crashes.takeCondemned(this.#jobs.values())) {
-			this.#drop(job, now + dropStopMs);
+		for (const job of this.#crashes.takeCondemnedJobs(this.#jobs.values())) {
+			this.#dropAndStop(job, now + dropStopMs);
 		}
 	}
 
@@ -631,13 +633,13 @@
 	Takes over runs that executors have reported since the job was handed over, even while others have yet to
 	report.
 	*/
-	#claimReported(job: GroupJob): void {
+	#takeOverReported(job: GroupJob): void {
 		if (job.movedAt === undefined) {
 			return;
 		}
 
 		for (const task of listWaiting(job)) {
-			this.#claimRun(job, task);
+			this.#takeOverRun(job, task);
 		}
 	}
 
@@ -646,15 +648,15 @@
 	over from an earlier holder may still run there until the executors have reported; a run of an earlier copy
 	of the job may not be stopped yet.
 	*/
-	#listFree(job: GroupJob): GroupTask[] {
-		return this.#isSettled(job)
+	#listStartable(job: GroupJob): GroupTask[] {
+		return this.#isRunStateKnown(job)
 			? listWaiting(job).filter(
 					({index}) => !this.#executors.findRun({job: job.id, index}),
 				)
 			: [];
 	}
 
-	#start(job: GroupJob, task: GroupTask, session: ExecutorSession): void {
+	#startTask(job: GroupJob, task: GroupTask, session: ExecutorSession): void {
 		const attempt = task.nextAttempt;
 		task.nextAttempt += 1;
 		task.state = 'started';
@@ -674,14 +676,14 @@
 	#giveBack(
 		job: GroupJob,
 		reason: NonNullable<Ends['reason']>,
-		tasks = this.#listFree(job),
+		tasks = this.#listStartable(job),
 	): void {
 		this.#outbox.giveBack(job, tasks, reason, this.ports.now());
 		for (const task of tasks) {
 			task.state = 'over';
 		}
 
-		this.#forgetIfOver(job);
+		this.#removeIfOver(job);
 	}
 
 	/** Starts no waiting task itself: the session calls `onChange` once all ends of a report are recorded. */
@@ -696,14 +698,14 @@
 
 		const runMs = this.ports.now() - run.startedAt;
 		if (outcome === 'done') {
-			this.#learn(job, run, runMs, session);
+			this.#recordRunTime(job, run, runMs, session);
 			this.#endTask(job, task, {outcome, attempt: run.attempt, runMs});
 		} else {
 			this.#requeue(job, task, outcome, session);
 		}
 	}
 
-	#learn(
+	#recordRunTime(
 		job: GroupJob,
 		run: Run,
 		runMs: number,
@@ -713,11 +715,11 @@
 			return;
 		}
 
-		const {sumMs, count} = job.ended;
+		const {sumMs, count} = job.endedRunTimes;
 		const expectedMs = count > 0 ? sumMs / count : job.estimateMs;
 		recordSuccess(session.trust, {runMs, expectedMs, now: this.ports.now()});
-		job.ended.sumMs += runMs;
-		job.ended.count += 1;
+		job.endedRunTimes.sumMs += runMs;
+		job.endedRunTimes.count += 1;
 		this.ports.runTimes.learn(job.queue, runMs);
 	}
 
@@ -756,7 +758,7 @@
 		task.state = 'waiting';
 		task.executor = undefined;
 		if (outcome === 'unstarted') {
-			task.nextAttempt += attemptStep;
+			task.nextAttempt += unstartedAttemptStep;
 		}
 	}
 
@@ -769,7 +771,7 @@
 		}
 
 		task.state = 'over';
-		this.#forgetIfOver(job);
+		this.#removeIfOver(job);
 	}
 
 	#endTask(
@@ -779,11 +781,11 @@
 	): void {
 		job.tasks.get(index)!.state = 'over';
 		this.#outbox.add(job, {index, placement, ...end}, this.ports.now());
-		this.#forgetIfOver(job);
+		this.#removeIfOver(job);
 	}
 
 	/** Drops the job and stops its runs; `stopBy`: when they have to be over. */
-	#drop(job: GroupJob, stopBy: number): void {
+	#dropAndStop(job: GroupJob, stopBy: number): void {
 		job.isDropped = true;
 		for (const task of job.tasks.values()) {
 			if (task.state === 'waiting') {
@@ -794,21 +796,21 @@
 			}
 		}
 
-		this.#forgetIfOver(job);
+		this.#removeIfOver(job);
 	}
 
 	/**
 	Drops jobs whose claim has ended: their entry has died, is unreachable, or has withdrawn the tasks. In case
 	the entry still waits for them, each task is returned to it once nothing of that task runs any more.
 	*/
-	#dropLapsed(now: number): void {
+	#dropEndedClaims(now: number): void {
 		for (const key of this.#entries.takeSilent(now)) {
 			this.#copies.releaseAll(key);
 		}
 
 		const bootTime = this.ports.readBootTime();
 		for (const job of this.#jobs.values()) {
-			if (!job.isDropped && isLapsed(job, bootTime)) {
+			if (!job.isDropped && hasClaimEnded(job, bootTime)) {
 				this.ports.log('claim was not renewed in time: stopping its job', {
 					job: job.id,
 					entry: job.entry.key,
@@ -819,7 +821,7 @@
 				});
 				this.#giveBack(job, 'elsewhere');
 				job.isOrphaned = true;
-				this.#drop(job, now + orphanStopMs);
+				this.#dropAndStop(job, now + orphanStopMs);
 			}
 		}
 	}
@@ -829,12 +831,12 @@
 	answer a state message sent after the pause. Until they do, none of the tasks that they handed over before
 	is started, and no lease of their runs is renewed.
 	*/
-	#notePause(): void {
+	#checkPause(): void {
 		const bootTime = this.ports.readBootTime();
 		const pausedMs = bootTime - this.#updatedAt;
 		this.#updatedAt = bootTime;
-		if (pausedMs > pauseMs) {
-			this.#judgesFrom = this.ports.now() + pauseAnswerMs;
+		if (pausedMs > pauseDetectionMs) {
+			this.#checksClaimsFrom = this.ports.now() + pauseGraceMs;
 			this.ports.log('this host was paused', {
 				group: this.ports.group,
 				token: this.ports.token,
@@ -844,7 +846,7 @@
 		}
 	}
 
-	#forgetIfOver(job: GroupJob): void {
+	#removeIfOver(job: GroupJob): void {
 		const isOver = [...job.tasks.values()].every(({state}) => state === 'over');
 		if (isOver && this.#jobs.get(job.id) === job) {
 			this.#jobs.delete(job.id);
@@ -861,6 +863,6 @@
 Whether this is the copy of the job that the entry took at that time. An entry that dropped a job and takes it
 again has another copy; its message to drop the former one may have been lost.
 */
-function isOwnCopy(job: GroupJob, entry: Entry, takenAtMs: number): boolean {
+function isSameCopy(job: GroupJob, entry: Entry, takenAtMs: number): boolean {
 	return job.entry.key === entry.key && job.takenAtMs === takenAtMs;
 }
--- a/packages/scheduling/src/judge-run.ts
+++ b/packages/scheduling/src/judge-run.ts
@@ -28,12 +28,12 @@
 the usual slack waits no longer than that; so if the executors are at fault after all, the runs are still
 stopped.
 */
-const togetherFactor = 5;
+const allLateFactor = 5;
 /**
 Least number of executors with late runs for that. With a quarter of all executors at fault, one job in 64 has
 as many by chance.
 */
-const togetherExecutors = 3;
+const allLateMinExecutors = 3;
 /** Added to each limit: the executor's response time and this host's own delays. */
 const allowanceMs = 25;
 /** A task is moved this often at most: after that, the task itself is taken to be long. */
@@ -43,27 +43,27 @@
 	elapsedMs: number;
 	estimateMs: number;
 	/** Mean run time of the job's tasks that have ended; undefined: none has. */
-	siblingMs?: number;
+	siblingMeanMs?: number;
 	/** All runs of the job are late, on several executors, and none has ended. */
-	isTogether?: boolean;
+	isWholeJobLate?: boolean;
 };
 
 /** Computes how long the run may take before it counts as overdue, milliseconds. */
-export function computeRunLimit({
+export function computeRunLimitMs({
 	estimateMs,
-	siblingMs,
-	isTogether = false,
+	siblingMeanMs,
+	isWholeJobLate = false,
 }: Omit<JudgedRun, 'elapsedMs'>): number {
-	if (siblingMs !== undefined) {
-		return siblingFactor * siblingMs + allowanceMs;
+	if (siblingMeanMs !== undefined) {
+		return siblingFactor * siblingMeanMs + allowanceMs;
 	}
 
-	const factor = isTogether ? togetherFactor : estimateFactor;
+	const factor = isWholeJobLate ? allLateFactor : estimateFactor;
 	return factor * estimateMs + allowanceMs;
 }
 
 export function isOverdue(run: JudgedRun): boolean {
-	return run.elapsedMs > computeRunLimit(run);
+	return run.elapsedMs > computeRunLimitMs(run);
 }
 
 /** Lists the tasks whose runs are overdue, over all jobs that are not dropped. */
@@ -73,28 +73,31 @@
 ): Generator<{job: GroupJob; task: GroupTask}> {
 	for (const job of jobs) {
 		if (!job.isDropped) {
-			yield* listOverdueOf(job, now);
+			yield* listOverdueOfJob(job, now);
 		}
 	}
 }
 
-function* listOverdueOf(
+function* listOverdueOfJob(
 	job: GroupJob,
 	now: number,
 ): Generator<{job: GroupJob; task: GroupTask}> {
-	const {estimateMs, ended, tasks} = job;
-	const siblingMs = ended.count > 0 ? ended.sumMs / ended.count : undefined;
+	const {estimateMs, endedRunTimes, tasks} = job;
+	const siblingMeanMs =
+		endedRunTimes.count > 0
+			? endedRunTimes.sumMs / endedRunTimes.count
+			: undefined;
 	const started = [...tasks.values()].filter(({state}) => state === 'started');
 	const late = started.filter(({startedAt}) =>
-		isOverdue({elapsedMs: now - startedAt, estimateMs, siblingMs}),
+		isOverdue({elapsedMs: now - startedAt, estimateMs, siblingMeanMs}),
 	);
-	const isTogether =
-		siblingMs === undefined &&
+	const isWholeJobLate =
+		siblingMeanMs === undefined &&
 		late.length === started.length &&
-		new Set(late.map(({executor}) => executor)).size >= togetherExecutors;
+		new Set(late.map(({executor}) => executor)).size >= allLateMinExecutors;
 	for (const task of late) {
 		const elapsedMs = now - task.startedAt;
-		if (isOverdue({elapsedMs, estimateMs, siblingMs, isTogether})) {
+		if (isOverdue({elapsedMs, estimateMs, siblingMeanMs, isWholeJobLate})) {
 			yield {job, task};
 		}
 	}
--- a/packages/scheduling/src/overdue-runs.ts
+++ b/packages/scheduling/src/overdue-runs.ts
@@ -8,7 +8,7 @@
 */
 import {type ExecutorSession} from './executor-session.js';
 import {isDoubted, recordOverdue} from './executor-trust.js';
-import {isHopeless, type GroupJob, type GroupTask} from './group-job.js';
+import {isPastLatestStart, type GroupJob, type GroupTask} from './group-job.js';
 import {listOverdue, maxMoves} from './judge-run.js';
 import {hasRoom} from './room.js';
 import {formatTaskKey} from './run.js';
@@ -16,26 +16,26 @@
 
 type Sessions = ReadonlyMap<string, ExecutorSession>;
 
-type Look = {
+type OverdueCheck = {
 	now: number;
 	log: (message: string, fields: Record<string, unknown>) => void;
 };
 
 /** Checks all runs of the jobs; to be called with each update of the scheduler. */
-export function moveOverdue(
+export function moveOverdueTasks(
 	jobs: Iterable<GroupJob>,
 	sessions: Sessions,
-	look: Look,
+	check: OverdueCheck,
 ): void {
-	for (const {job, task} of listOverdue(jobs, look.now)) {
-		moveTask({job, task}, sessions, look);
+	for (const {job, task} of listOverdue(jobs, check.now)) {
+		handleOverdueTask({job, task}, sessions, check);
 	}
 }
 
-function moveTask(
+function handleOverdueTask(
 	{job, task}: {job: GroupJob; task: GroupTask},
 	sessions: Sessions,
-	{now, log}: Look,
+	{now, log}: OverdueCheck,
 ): void {
 	const session = sessions.get(task.executor ?? '');
 	const run = session?.runs.get(
@@ -45,15 +45,16 @@
 		return;
 	}
 
-	const isFirst = !run.isOverdue;
-	if (isFirst) {
+	const isNewlyOverdue = !run.isOverdue;
+	if (isNewlyOverdue) {
 		run.isOverdue = true;
 		recordOverdue(session.trust, now);
 	}
 
 	const isMoved =
-		!isHopeless(job, now + stopLimitMs) && isMovable(job, task, sessions);
-	if (isFirst || isMoved) {
+		!isPastLatestStart(job, now + stopLimitMs) &&
+		hasRoomElsewhere(job, task, sessions);
+	if (isNewlyOverdue || isMoved) {
 		log('run is overdue', {
 			job: job.id,
 			task: task.index,
@@ -74,7 +75,7 @@
 Whether another executor has room for the task now: one that is not doubted, and on which no earlier run of the
 task was unsuccessful.
 */
-function isMovable(
+function hasRoomElsewhere(
 	{service, demand}: GroupJob,
 	{executor, avoid, moves}: GroupTask,
 	sessions: Sessions,
--- a/packages/scheduling/src/place-job.test.ts
+++ b/packages/scheduling/src/place-job.test.ts
@@ -3,7 +3,11 @@
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {placeJob, type GroupRoom, type SpreadRequest} from './place-job.js';
+import {
+	placeJob,
+	type GroupRoom,
+	type JobPlacementRequest,
+} from './place-job.js';
 
 function makeRoom(group: string, room: Partial<GroupRoom> = {}): GroupRoom {
 	return {
@@ -17,7 +21,9 @@
 	};
 }
 
-function makeRequest(request: Partial<SpreadRequest> = {}): SpreadRequest {
+function makeRequest(
+	request: Partial<JobPlacementRequest> = {},
+): JobPlacementRequest {
 	return {
 		count: 2,
 		demand: {cpu: 14_000, memoryMb: 64, accelerators: 0},
--- a/packages/scheduling/src/place-job.ts
+++ b/packages/scheduling/src/place-job.ts
@@ -27,7 +27,7 @@
 	running: readonly number[];
 };
 
-export type SpreadRequest = {
+export type JobPlacementRequest = {
 	count: number;
 	demand: TaskDemand;
 	priority: number;
@@ -40,14 +40,14 @@
 	limitMs: number;
 };
 
-export type Spread =
+export type JobPlacement =
 	| {type: 'placed'; shares: Map<string, number>}
 	| {type: 'refused'; retryAfterMs: number; waitMs: number};
 
 /** Run time of a job's longest task relative to their estimate, for eight tasks that differ by 15%. */
 export const longestFactor = 1.2;
 /** Least share of a group's capacity that a priority is taken to have, however much more urgent work uses. */
-const leastShare = 0.15;
+const minCapacityShare = 0.15;
 
 /**
 Estimates how long the last of `tasks` tasks waits for its start, in milliseconds: the work that goes before it,
@@ -65,22 +65,22 @@
 		priority,
 		estimateMs,
 		isLate,
-	}: Pick<SpreadRequest, 'demand' | 'priority' | 'estimateMs' | 'isLate'>,
+	}: Pick<JobPlacementRequest, 'demand' | 'priority' | 'estimateMs' | 'isLate'>,
 	tasks: number,
 ): number {
 	if (capacity <= 0) {
 		return Infinity;
 	}
 
-	const ahead =
-		sumUpTo(backlog, priority + 1) +
-		sumUpTo(lateBacklog, isLate ? priority + 1 : priority);
-	const urgent = sumUpTo(running, priority);
-	const share = Math.max(leastShare, 1 - urgent / capacity);
-	return (ahead + tasks * estimateMs * cpu) / (capacity * share);
+	const workAhead =
+		sumBelow(backlog, priority + 1) +
+		sumBelow(lateBacklog, isLate ? priority + 1 : priority);
+	const moreUrgentCpu = sumBelow(running, priority);
+	const share = Math.max(minCapacityShare, 1 - moreUrgentCpu / capacity);
+	return (workAhead + tasks * estimateMs * cpu) / (capacity * share);
 }
 
-function sumUpTo(levels: readonly number[], end: number): number {
+function sumBelow(levels: readonly number[], end: number): number {
 	let sum = 0;
 	for (const level of levels.slice(0, end)) {
 		sum += level;
@@ -91,26 +91,32 @@
 
 export function placeJob(
 	rooms: readonly GroupRoom[],
-	request: SpreadRequest,
-): Spread {
+	request: JobPlacementRequest,
+): JobPlacement {
 	const shares = new Map<string, number>();
 	const ranked = rankRooms(rooms, request);
-	let left = request.count;
+	let unplaced = request.count;
 	for (const room of ranked) {
-		const fits = Math.min(left, countFits(room.free, request.demand.cpu));
-		if (fits > 0) {
-			shares.set(room.group, fits);
-			left -= fits;
+		const startable = Math.min(
+			unplaced,
+			countFits(room.free, request.demand.cpu),
+		);
+		if (startable > 0) {
+			shares.set(room.group, startable);
+			unplaced -= startable;
 		}
 	}
 
-	if (left === 0) {
+	if (unplaced === 0) {
 		return {type: 'placed', shares};
 	}
 
-	const perGroup = Math.ceil(left / Math.max(1, ranked.length));
+	const tasksPerGroup = Math.ceil(unplaced / Math.max(1, ranked.length));
 	const waits = ranked
-		.map((room) => ({room, waitMs: estimateWaitMs(room, request, perGroup)}))
+		.map((room) => ({
+			room,
+			waitMs: estimateWaitMs(room, request, tasksPerGroup),
+		}))
 		.toSorted((a, b) => a.waitMs - b.waitMs);
 	const shortest = waits[0];
 	const endMs =
@@ -120,14 +126,14 @@
 		return {type: 'refused', waitMs, retryAfterMs: waitMs};
 	}
 
-	setWaitingShares(shares, waits, left);
+	setWaitingShares(shares, waits, unplaced);
 	return {type: 'placed', shares};
 }
 
 /** Sorts the entry's own data centre first, then the groups with the most free capacity. */
 function rankRooms(
 	rooms: readonly GroupRoom[],
-	{home, demand: {cpu}}: SpreadRequest,
+	{home, demand: {cpu}}: JobPlacementRequest,
 ): GroupRoom[] {
 	return rooms.toSorted((a, b) => {
 		const homeFirst = Number(b.group === home) - Number(a.group === home);
@@ -150,13 +156,13 @@
 		({waitMs}) => waitMs <= waits[0]!.waitMs * 1.5 + 1,
 	);
 	const capacity = usable.reduce((sum, {room}) => sum + room.capacity, 0);
-	let left = tasks;
+	let unplaced = tasks;
 	for (const {room} of usable) {
 		const share = Math.min(
-			left,
+			unplaced,
 			Math.ceil((tasks * room.capacity) / Math.max(1, capacity)),
 		);
 		shares.set(room.group, (shares.get(room.group) ?? 0) + share);
-		left -= share;
+		unplaced -= share;
 	}
 }
--- a/packages/scheduling/src/place-suspects.test.ts
+++ b/packages/scheduling/src/place-suspects.test.ts
@@ -41,8 +41,8 @@
 	const left = placeSuspects([job], executors, {
 		now: 0,
 		judge: ({index}) => (index < suspects ? 'suspect' : 'sound'),
-		holdsSuspect: ({id}) => holding.includes(id),
-		listFree: listWaiting,
+		hasSuspectRun: ({id}) => holding.includes(id),
+		listStartable: listWaiting,
 		start(_job, {index}, {id}) {
 			started.push(`${index} on ${id}`);
 		},
--- a/packages/scheduling/src/place-suspects.ts
+++ b/packages/scheduling/src/place-suspects.ts
@@ -13,17 +13,17 @@
 import {hasRoom} from './room.js';
 
 /** Largest share of all executors that run suspects or are kept free for one; at least one executor. */
-const suspectShare = 0.25;
+const maxSuspectShare = 0.25;
 /** A task whose remaining time is at most this many run times no longer waits for an idle executor. */
-const urgentRuns = 1.5;
+const urgentRunTimes = 1.5;
 
 export type SuspectActions<C extends Candidate> = {
 	now: number;
 	judge: (task: {job: string; index: number}) => CrashVerdict;
 	/** Whether one of the executor's runs is of a suspect. */
-	holdsSuspect: (executor: C) => boolean;
+	hasSuspectRun: (executor: C) => boolean;
 	/** Lists waiting tasks of which nothing runs. */
-	listFree: (job: GroupJob) => GroupTask[];
+	listStartable: (job: GroupJob) => GroupTask[];
 	start: (job: GroupJob, task: GroupTask, executor: C) => void;
 };
 
@@ -35,58 +35,65 @@
 	executors: readonly C[],
 	actions: SuspectActions<C>,
 ): C[] {
-	const left = new Set(executors.filter((one) => !actions.holdsSuspect(one)));
-	const most = Math.max(1, Math.floor(executors.length * suspectShare));
+	const available = new Set(
+		executors.filter((executor) => !actions.hasSuspectRun(executor)),
+	);
+	const maxReserved = Math.max(
+		1,
+		Math.floor(executors.length * maxSuspectShare),
+	);
 	for (const suspect of listSuspects(jobs, actions)) {
-		if (executors.length - left.size >= most) {
+		if (executors.length - available.size >= maxReserved) {
 			break;
 		}
 
-		const executor = findPlace(suspect, left, actions.now);
+		const executor = findExecutor(suspect, available, actions.now);
 		if (executor) {
 			actions.start(suspect.job, suspect.task, executor);
 		}
 
-		const taken = executor ?? findLeastBusy(suspect.job, left, () => true);
-		if (taken) {
-			left.delete(taken);
+		const reserved =
+			executor ?? findLeastBusy(suspect.job, available, () => true);
+		if (reserved) {
+			available.delete(reserved);
 		}
 	}
 
-	return [...left];
+	return [...available];
 }
 
 function listSuspects<C extends Candidate>(
 	jobs: readonly GroupJob[],
-	{now, judge, listFree}: SuspectActions<C>,
+	{now, judge, listStartable}: SuspectActions<C>,
 ): Suspect[] {
 	return jobs
 		.toSorted((a, b) => compareJobs(a, b, now))
 		.flatMap((job) =>
-			listFree(job)
+			listStartable(job)
 				.filter(({index}) => judge({job: job.id, index}) === 'suspect')
 				.map((task) => ({job, task})),
 		);
 }
 
-function findPlace<C extends Candidate>(
+function findExecutor<C extends Candidate>(
 	{job, task: {avoid}}: Suspect,
 	executors: ReadonlySet<C>,
 	now: number,
 ): C | undefined {
-	const {service, demand, estimateMs, endsAt} = job;
+	const {service, demand, estimateMs, deadlineAt} = job;
 	const idle = [...executors].filter(({runCount}) => runCount === 0);
-	const alone = chooseExecutor(
+	const idleExecutor = chooseExecutor(
 		idle,
-		{service, demand, estimateMs, endsAt, avoid},
+		{service, demand, estimateMs, deadlineAt, avoid},
 		now,
 	);
-	const isUrgent = now + urgentRuns * estimateMs >= endsAt;
+	const isUrgent = now + urgentRunTimes * estimateMs >= deadlineAt;
 	return (
-		alone ?? (isUrgent ? findLeastBusy(job, executors, isRoomy) : undefined)
+		idleExecutor ??
+		(isUrgent ? findLeastBusy(job, executors, hasRoomForTask) : undefined)
 	);
 
-	function isRoomy({free}: C): boolean {
+	function hasRoomForTask({free}: C): boolean {
 		return hasRoom(free, demand);
 	}
 }
@@ -94,12 +101,14 @@
 function findLeastBusy<C extends Candidate>(
 	{service, demand}: GroupJob,
 	executors: ReadonlySet<C>,
-	isFit: (executor: C) => boolean,
+	isSuitable: (executor: C) => boolean,
 ): C | undefined {
 	return [...executors]
 		.filter(
-			(one) =>
-				one.service === service && hasRoom(one.capacity, demand) && isFit(one),
+			(executor) =>
+				executor.service === service &&
+				hasRoom(executor.capacity, demand) &&
+				isSuitable(executor),
 		)
 		.toSorted((a, b) => a.runCount - b.runCount || b.free.cpu - a.free.cpu)[0];
 }
--- a/packages/scheduling/src/place-task.ts
+++ b/packages/scheduling/src/place-task.ts
@@ -25,25 +25,25 @@
 	trust: ExecutorTrust;
 };
 
-export type PlacedTask = {
+export type TaskRequirements = {
 	service: string;
 	demand: TaskDemand;
 	estimateMs: number;
 	/** When the caller stops waiting: a later end is of no use. */
-	endsAt: number;
+	deadlineAt: number;
 	/** Executors on which an earlier run of the task was unsuccessful; used only when no other has room. */
 	avoid: ReadonlySet<string>;
 };
 
 export function chooseExecutor<C extends Candidate>(
 	candidates: Iterable<C>,
-	task: PlacedTask,
+	task: TaskRequirements,
 	now: number,
 ): C | undefined {
 	let best: C | undefined;
 	let bestWeight = -Infinity;
 	for (const candidate of candidates) {
-		if (!isFit(candidate, task, now)) {
+		if (!isSuitable(candidate, task, now)) {
 			continue;
 		}
 
@@ -58,9 +58,9 @@
 }
 
 /** Whether the executor may take a task of this size now. */
-export function isFree(
+export function isAvailable(
 	candidate: Candidate,
-	task: Pick<PlacedTask, 'service' | 'demand'>,
+	task: Pick<TaskRequirements, 'service' | 'demand'>,
 	now: number,
 ): boolean {
 	const {service, free, trust, runCount} = candidate;
@@ -73,27 +73,31 @@
 	);
 }
 
-function isFit(candidate: Candidate, task: PlacedTask, now: number): boolean {
+function isSuitable(
+	candidate: Candidate,
+	task: TaskRequirements,
+	now: number,
+): boolean {
 	const slowness = computeSlowness(candidate.trust, now);
 	const isInTime =
-		slowness < slowFactor || now + task.estimateMs * slowness < task.endsAt;
-	return isFree(candidate, task, now) && isInTime;
+		slowness < slowFactor || now + task.estimateMs * slowness < task.deadlineAt;
+	return isAvailable(candidate, task, now) && isInTime;
 }
 
 /**
 Weight of one demerit. Larger than any free capacity, so that an executor with fewer demerits goes before another
 however much room that has.
 */
-const classStep = 1e9;
+const demeritWeight = 1e9;
 
 function weighExecutor(
 	{id, free, trust}: Candidate,
-	{avoid}: PlacedTask,
+	{avoid}: TaskRequirements,
 	now: number,
 ): number {
 	const demerits =
 		Number(computeSlowness(trust, now) > slowFactor) * 2 +
 		Number(isDoubted(trust)) * 4 +
 		Number(avoid.has(id)) * 8;
-	return free.cpu - demerits * classStep;
+	return free.cpu - demerits * demeritWeight;
 }
--- a/packages/scheduling/src/place-waiting.ts
+++ b/packages/scheduling/src/place-waiting.ts
@@ -10,7 +10,7 @@
 import {type Ends} from '@gentianshift/protocol';
 import {
 	countWaiting,
-	isHopeless,
+	isPastLatestStart,
 	listWaiting,
 	type GroupJob,
 	type GroupTask,
@@ -27,11 +27,11 @@
 
 export type PlacingActions<C extends Candidate> = {
 	/** Lists waiting tasks of which nothing runs: only these may be started or given back. */
-	listFree: (job: GroupJob) => GroupTask[];
+	listStartable: (job: GroupJob) => GroupTask[];
 	/** Whether no executor has crashed under the task, nor may have. */
 	isSound: (job: GroupJob, task: GroupTask) => boolean;
 	start: (job: GroupJob, task: GroupTask, executor: C) => void;
-	/** Returns tasks to their entry; without `tasks`, all that `listFree` lists. */
+	/** Returns tasks to their entry; without `tasks`, all that `listStartable` lists. */
 	giveBack: (
 		job: GroupJob,
 		reason: NonNullable<Ends['reason']>,
@@ -47,24 +47,24 @@
 	const ranked = jobs.toSorted((a, b) => compareJobs(a, b, round.now));
 	let aheadMs = 0;
 	for (const job of ranked) {
-		if (isHopeless(job, round.now)) {
+		if (isPastLatestStart(job, round.now)) {
 			actions.giveBack(job, 'hopeless');
 			continue;
 		}
 
 		if (!startTasks(job, round, actions)) {
 			shiftTasks(job, round, actions);
-			if (isHopeless(job, round.now + aheadMs)) {
+			if (isPastLatestStart(job, round.now + aheadMs)) {
 				actions.giveBack(job, 'hopeless');
 			}
 
-			aheadMs += measureWaitingMs(job, round);
+			aheadMs += computeBusyMs(job, round);
 		}
 	}
 }
 
 /** Least time for which the job's waiting tasks keep all executors of the round busy. */
-function measureWaitingMs<C extends Candidate>(
+function computeBusyMs<C extends Candidate>(
 	job: GroupJob,
 	{capacityCpu}: PlacingRound<C>,
 ): number {
@@ -76,21 +76,21 @@
 function startTasks<C extends Candidate>(
 	job: GroupJob,
 	{now, candidates, hasRoomFor}: PlacingRound<C>,
-	{listFree, isSound, start}: PlacingActions<C>,
+	{listStartable, isSound, start}: PlacingActions<C>,
 ): boolean {
-	const {service, demand, estimateMs, endsAt} = job;
+	const {service, demand, estimateMs, deadlineAt} = job;
 	if (!hasRoomFor(service, demand)) {
 		return false;
 	}
 
-	for (const task of listFree(job)) {
+	for (const task of listStartable(job)) {
 		if (!isSound(job, task)) {
 			continue;
 		}
 
 		const {avoid} = task;
-		const wanted = {service, demand, estimateMs, endsAt, avoid};
-		const executor = chooseExecutor(candidates, wanted, now);
+		const requirements = {service, demand, estimateMs, deadlineAt, avoid};
+		const executor = chooseExecutor(candidates, requirements, now);
 		if (!executor) {
 			return false;
 		}
@@ -104,15 +104,17 @@
 /** Returns tasks that find no room here while another group has room for them now. */
 function shiftTasks<C extends Candidate>(
 	job: GroupJob,
-	{takeElsewhere}: PlacingRound<C>,
-	{listFree, giveBack}: PlacingActions<C>,
+	{takeRoomElsewhere}: PlacingRound<C>,
+	{listStartable, giveBack}: PlacingActions<C>,
 ): void {
 	const waiting = listWaiting(job).filter((task) => isShiftable(task));
-	const taken =
-		waiting.length === 0 ? 0 : takeElsewhere(job.demand.cpu, waiting.length);
-	if (taken > 0) {
-		const free = listFree(job).filter((task) => isShiftable(task));
-		giveBack(job, 'elsewhere', free.slice(0, taken));
+	const tasksWithRoom =
+		waiting.length === 0
+			? 0
+			: takeRoomElsewhere(job.demand.cpu, waiting.length);
+	if (tasksWithRoom > 0) {
+		const startable = listStartable(job).filter((task) => isShiftable(task));
+		giveBack(job, 'elsewhere', startable.slice(0, tasksWithRoom));
 	}
 }
 
--- a/packages/scheduling/src/placing-round.test.ts
+++ b/packages/scheduling/src/placing-round.test.ts
@@ -11,13 +11,13 @@
 	return {cpu, memoryMb: 64, accelerators: 0};
 }
 
-function makeCandidate(cpu: number, onLook: () => void): Candidate {
+function makeCandidate(cpu: number, onSearch: () => void): Candidate {
 	return {
 		id: 'e1',
 		service: 'meals',
 		capacity: {cpu: 32_000, memoryMb: 1000, accelerators: 0},
 		get free() {
-			onLook();
+			onSearch();
 			return {cpu, memoryMb: 1000, accelerators: 0};
 		},
 		runCount: 0,
@@ -28,19 +28,19 @@
 // A hundred jobs wait and no executor has room. If all executors were searched for each job at each end of a
 // task, a search would take longer than the time between two ends, and all answers would be late.
 test('executors without room are searched once for jobs of one size', () => {
-	let looks = 0;
+	let searches = 0;
 	const candidate = makeCandidate(10_000, () => {
-		looks += 1;
+		searches += 1;
 	});
 	const round = createPlacingRound([candidate], 0, () => 0);
 	for (let i = 0; i < 100; i += 1) {
 		assert.equal(round.hasRoomFor('meals', makeDemand(14_000)), false);
 	}
 
-	assert.equal(looks, 1);
+	assert.equal(searches, 1);
 	assert.equal(round.hasRoomFor('meals', makeDemand(8000)), true);
 	assert.equal(round.hasRoomFor('meals', makeDemand(20_000)), false);
-	assert.equal(looks, 2);
+	assert.equal(searches, 2);
 });
 
 test('other groups are asked once for jobs of one size, and again for smaller ones', () => {
@@ -49,8 +49,8 @@
 		asked.push(cpu);
 		return cpu < 10_000 ? 1 : 0;
 	});
-	assert.equal(round.takeElsewhere(14_000, 2), 0);
-	assert.equal(round.takeElsewhere(14_000, 2), 0);
-	assert.equal(round.takeElsewhere(8000, 2), 1);
+	assert.equal(round.takeRoomElsewhere(14_000, 2), 0);
+	assert.equal(round.takeRoomElsewhere(14_000, 2), 0);
+	assert.equal(round.takeRoomElsewhere(8000, 2), 1);
 	assert.deepEqual(asked, [14_000, 8000]);
 });
--- a/packages/scheduling/src/placing-round.ts
+++ b/packages/scheduling/src/placing-round.ts
@@ -6,7 +6,7 @@
 for one job, there is none for another that needs as much.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
-import {isFree, type Candidate} from './place-task.js';
+import {isAvailable, type Candidate} from './place-task.js';
 
 export type PlacingRound<C extends Candidate> = {
 	candidates: readonly C[];
@@ -19,44 +19,44 @@
 	Takes room for tasks of `cpu` thousandths of a core from what is known to be free in other groups; returns
 	for how many of `tasks`.
 	*/
-	takeElsewhere: (cpu: number, tasks: number) => number;
+	takeRoomElsewhere: (cpu: number, tasks: number) => number;
 };
 
 export function createPlacingRound<C extends Candidate>(
 	candidates: readonly C[],
 	now: number,
-	takeElsewhere: (cpu: number, tasks: number) => number,
+	takeKnownRoom: (cpu: number, tasks: number) => number,
 ): PlacingRound<C> {
 	/** The last demand of each service for which no room was found. */
-	const refused = new Map<string, TaskDemand>();
+	const lastRefused = new Map<string, TaskDemand>();
 	/** Least processor demand, in thousandths of a core, for which other groups have no room. */
-	let refusedElsewhere = Infinity;
+	let refusedElsewhereCpu = Infinity;
 	return {
 		candidates,
 		capacityCpu: candidates.reduce((sum, {capacity}) => sum + capacity.cpu, 0),
 		now,
 		hasRoomFor(service, demand) {
-			const known = refused.get(service);
-			if (known && isAsLarge(demand, known)) {
+			const known = lastRefused.get(service);
+			if (known && isAtLeast(demand, known)) {
 				return false;
 			}
 
 			const task = {service, demand};
-			const hasRoom = candidates.some((one) => isFree(one, task, now));
+			const hasRoom = candidates.some((one) => isAvailable(one, task, now));
 			if (!hasRoom) {
-				refused.set(service, demand);
+				lastRefused.set(service, demand);
 			}
 
 			return hasRoom;
 		},
-		takeElsewhere(cpu, tasks) {
-			if (cpu >= refusedElsewhere) {
+		takeRoomElsewhere(cpu, tasks) {
+			if (cpu >= refusedElsewhereCpu) {
 				return 0;
 			}
 
-			const taken = takeElsewhere(cpu, tasks);
+			const taken = takeKnownRoom(cpu, tasks);
 			if (taken === 0) {
-				refusedElsewhere = cpu;
+				refusedElsewhereCpu = cpu;
 			}
 
 			return taken;
@@ -64,7 +64,7 @@
 	};
 }
 
-function isAsLarge(demand: TaskDemand, other: TaskDemand): boolean {
+function isAtLeast(demand: TaskDemand, other: TaskDemand): boolean {
 	return (
 		demand.cpu >= other.cpu &&
 		demand.memoryMb >= other.memoryMb &&
--- a/packages/scheduling/src/rank-jobs.test.ts
+++ b/packages/scheduling/src/rank-jobs.test.ts
@@ -6,29 +6,38 @@
 import {compareJobs, type RankedJob} from './rank-jobs.js';
 
 function makeJob(job: Partial<RankedJob> = {}): RankedJob {
-	return {priority: 1, work: 100, dueAt: 1000, estimateMs: 100, ...job};
+	return {
+		priority: 1,
+		remainingWork: 100,
+		dueAt: 1000,
+		estimateMs: 100,
+		...job,
+	};
 }
 
 test('the queue with the lower number goes first, whatever the work', () => {
-	const urgent = makeJob({priority: 0, work: 1e9});
+	const urgent = makeJob({priority: 0, remainingWork: 1e9});
 	assert.ok(compareJobs(urgent, makeJob(), 0) < 0);
 });
 
 test('within a priority the job with the least work left goes first', () => {
-	assert.ok(compareJobs(makeJob({work: 10}), makeJob({work: 20}), 0) < 0);
+	assert.ok(
+		compareJobs(makeJob({remainingWork: 10}), makeJob({remainingWork: 20}), 0) <
+			0,
+	);
 });
 
 // Many small jobs arrive after a larger one. If the least work always went first, the larger job would wait
 // until it is late, although there was time for all.
 test('a job that has waited goes before smaller ones that came later', () => {
-	const waiting = makeJob({work: 960_000, dueAt: 200});
-	const fresh = makeJob({work: 320_000, dueAt: 300});
+	const waiting = makeJob({remainingWork: 960_000, dueAt: 200});
+	const fresh = makeJob({remainingWork: 320_000, dueAt: 300});
 	assert.ok(compareJobs(waiting, fresh, 0) < 0);
 });
 
 // At saturation some jobs are late already. If they went first, jobs that can still be in time would be late
 // too.
 test('a job that can still end in time goes before one that cannot', () => {
-	const late = makeJob({work: 1, dueAt: 50});
+	const late = makeJob({remainingWork: 1, dueAt: 50});
 	assert.ok(compareJobs(makeJob(), late, 0) < 0);
 });
--- a/packages/scheduling/src/rank-jobs.ts
+++ b/packages/scheduling/src/rank-jobs.ts
@@ -15,7 +15,7 @@
 export type RankedJob = {
 	priority: number;
 	/** Remaining work of the whole job: tasks times milliseconds times thousandths of a core. */
-	work: number;
+	remainingWork: number;
 	/** When its latency objective is missed, on the scheduler's clock. */
 	dueAt: number;
 	/** Estimated run time of one of its tasks, milliseconds. */
@@ -31,11 +31,11 @@
 }
 
 /** Size of a usual executor, thousandths of a core: the work that it does in a millisecond. */
-const executorCpu = 32_000;
+const usualExecutorCpu = 32_000;
 
 /** The latest start that is in time, plus the time that one executor takes for the remaining work. */
-function computeTurn({dueAt, estimateMs, work}: RankedJob): number {
-	return dueAt - estimateMs + work / executorCpu;
+function computeRank({dueAt, estimateMs, remainingWork}: RankedJob): number {
+	return dueAt - estimateMs + remainingWork / usualExecutorCpu;
 }
 
 /** Negative: a goes before b. */
@@ -45,5 +45,5 @@
 	}
 
 	const lateness = Number(isLate(a, now)) - Number(isLate(b, now));
-	return lateness === 0 ? computeTurn(a) - computeTurn(b) : lateness;
+	return lateness === 0 ? computeRank(a) - computeRank(b) : lateness;
 }
--- a/packages/scheduling/src/run-book.ts
+++ b/packages/scheduling/src/run-book.ts
@@ -65,18 +65,18 @@
 	let used = noDemand;
 	let acknowledged = 0;
 
-	function enter(run: Run): void {
+	function addRun(run: Run): void {
 		runs.set(formatTaskKey(run), run);
 		used = addDemand(used, run.demand);
 	}
 
-	function remove(run: Run): void {
+	function removeRun(run: Run): void {
 		runs.delete(formatTaskKey(run));
 		used = removeDemand(used, run.demand);
 	}
 
 	/** Records an end. Returns the run if it is a known one. */
-	function enterEnd(end: RunEnd, now: number): EndedRun | undefined {
+	function recordEnd(end: RunEnd, now: number): EndedRun | undefined {
 		if (end.sequence <= acknowledged) {
 			return undefined;
 		}
@@ -91,12 +91,12 @@
 			return undefined;
 		}
 
-		remove(run);
+		removeRun(run);
 		return {run, outcome: end.outcome};
 	}
 
 	/** Records that a run is listed as running. Returns the run if it was not known. */
-	function enterRunning(
+	function recordRunning(
 		{job, index, attempt}: RunName,
 		{now, foundDemand}: ReportContext,
 	): Run | undefined {
@@ -115,7 +115,7 @@
 			startedAt: now,
 			isFound: true,
 		};
-		enter(run);
+		addRun(run);
 		return run;
 	}
 
@@ -140,8 +140,8 @@
 		get acknowledged() {
 			return acknowledged;
 		},
-		enter,
-		remove,
+		enter: addRun,
+		remove: removeRun,
 		isCurrent: (run) => runs.get(formatTaskKey(run)) === run,
 		resize(run, demand) {
 			used = addDemand(removeDemand(used, run.demand), demand);
@@ -149,17 +149,17 @@
 		},
 		takeReport(report, context) {
 			const ended = report.ended.flatMap(
-				(end) => enterEnd(end, context.now) ?? [],
+				(end) => recordEnd(end, context.now) ?? [],
 			);
 			const found = report.running.flatMap(
-				(run) => enterRunning(run, context) ?? [],
+				(run) => recordRunning(run, context) ?? [],
 			);
 			// Runs whose ends do not fit into this report would be taken for lost.
 			const missing = report.hasMoreEnds
 				? []
 				: listMissing(runs, report, context.sentAt);
 			for (const {run} of missing) {
-				remove(run);
+				removeRun(run);
 			}
 
 			return {ended: [...ended, ...missing], found};
--- a/packages/scheduling/src/run-orders.ts
+++ b/packages/scheduling/src/run-orders.ts
@@ -66,13 +66,13 @@
 			token: getToken(),
 			answerLimitMs: answerTimes.getLimitMs(),
 		});
-		noteAnswer(reply, sentAt);
+		recordAnswerTime(reply, sentAt);
 		if (!isCurrent(run)) {
 			return;
 		}
 
 		if (reply.isErr()) {
-			receiveStartFailure(run, reply.error);
+			handleStartFailure(run, reply.error);
 			return;
 		}
 
@@ -81,7 +81,10 @@
 		run.state = run.state === 'starting' ? 'running' : run.state;
 	}
 
-	function noteAnswer(reply: Result<unknown, CallFailure>, sentAt: number) {
+	function recordAnswerTime(
+		reply: Result<unknown, CallFailure>,
+		sentAt: number,
+	) {
 		if (reply.isErr() && reply.error.code === 'unanswered') {
 			answerTimes.noteLost();
 		} else {
@@ -89,7 +92,7 @@
 		}
 	}
 
-	function receiveStartFailure(run: Run, failure: CallFailure): void {
+	function handleStartFailure(run: Run, failure: CallFailure): void {
 		log('start came to nothing', {
 			executor: getExecutor().id,
 			job: run.job,
@@ -131,7 +134,7 @@
 				token: getToken(),
 				answerLimitMs: answerTimes.getLimitMs(),
 			});
-			noteAnswer(reply, sentAt);
+			recordAnswerTime(reply, sentAt);
 			if (reply.isOk() || reply.error.code === 'outdated') {
 				run.stoppedAt = now();
 				ports.onStopped();
--- a/packages/scheduling/src/run-times.ts
+++ b/packages/scheduling/src/run-times.ts
@@ -7,7 +7,7 @@
 */
 
 /** Weight of one run in the queue's moving mean, which covers some twenty runs: about a second of a busy queue. */
-const learnWeight = 0.05;
+const runWeight = 0.05;
 
 export type RunTimes = {
 	estimate: (queue: string, declaredMs: number) => number;
@@ -27,7 +27,7 @@
 		},
 		learn(queue, runMs) {
 			const mean = means.get(queue) ?? runMs;
-			means.set(queue, mean + learnWeight * (runMs - mean));
+			means.set(queue, mean + runWeight * (runMs - mean));
 		},
 	};
 }
--- a/packages/scheduling/src/succession.ts
+++ b/packages/scheduling/src/succession.ts
@@ -8,14 +8,14 @@
 */
 
 /** A host with less than this many times the holder's processor is no gain worth a change of holder. */
-export const strongerFactor = 1.5;
+export const minCoresRatio = 1.5;
 /**
 How long the stronger host has to be there before it is asked. A host that has just started may stop again, and
 knows no executors yet: reading its first lists takes less than this.
 */
-export const yieldAfterMs = 3000;
+export const successorMinUpMs = 3000;
 
-export type Contender = {
+export type SuccessorCandidate = {
 	key: string;
 	/** Processor cores that the host may use. */
 	cores: number;
@@ -24,7 +24,7 @@
 export type Succession = {
 	/** Returns the host to ask, or undefined. `strongest`: the first choice of the hosts that could hold the group. */
 	choose: (
-		strongest: Contender | undefined,
+		strongest: SuccessorCandidate | undefined,
 		holder: {ownCores: number; now: number},
 	) => string | undefined;
 };
@@ -36,19 +36,21 @@
 succession.choose({key: 'mieres_m1', cores: 1.35}, {ownCores: 0.3, now: yieldAfterMs}); // 'mieres_m1'
 */
 export function createSuccession(): Succession {
-	let seen: {key: string; since: number} | undefined;
+	let candidate: {key: string; since: number} | undefined;
 	return {
 		choose(strongest, {ownCores, now}) {
-			if (!strongest || strongest.cores < strongerFactor * ownCores) {
-				seen = undefined;
+			if (!strongest || strongest.cores < minCoresRatio * ownCores) {
+				candidate = undefined;
 				return undefined;
 			}
 
-			if (seen?.key !== strongest.key) {
-				seen = {key: strongest.key, since: now};
+			if (candidate?.key !== strongest.key) {
+				candidate = {key: strongest.key, since: now};
 			}
 
-			return now - seen.since >= yieldAfterMs ? seen.key : undefined;
+			return now - candidate.since >= successorMinUpMs
+				? candidate.key
+				: undefined;
 		},
 	};
 }
