--- a/packages/scheduling/src/overdue-runs.ts
+++ b/packages/scheduling/src/overdue-runs.ts
@@ -1,13 +1,14 @@
 /**
-Runs that take too long are stopped where their tasks can be started elsewhere at once.
+Stops runs that take too long, if their tasks can be started on another executor at once.
 
-For executors that let tasks stand still or have turned slow. Room elsewhere comes and goes, so each
-look judges anew whether a task can be moved; its executor's trust is lowered once a run. A run is left
-alone when no time is left for another: stopped, its job would be given up for certain.
+Executors on which tasks hang, or that have become slow, make this necessary. Whether other executors have room
+changes all the time, so each check decides again whether a task can be moved; the executor's trust is lowered
+once per run. A run goes on if no time is left for another one: if it were stopped, its job would certainly be
+given up.
 */
 import {type ExecutorSession} from './executor-session.js';
 import {isDoubted, recordOverdue} from './executor-trust.js';
-import {isHopeless, type GroupJob, type GroupTask} from './group-job.js';
+import {isPastLatestStart, type GroupJob, type GroupTask} from './group-job.js';
 import {listOverdue, maxMoves} from './judge-run.js';
 import {hasRoom} from './room.js';
 import {formatTaskKey} from './run.js';
@@ -15,26 +16,26 @@
 
 type Sessions = ReadonlyMap<string, ExecutorSession>;
 
-type Look = {
+type OverdueCheck = {
 	now: number;
 	log: (message: string, fields: Record<string, unknown>) => void;
 };
 
-/** Looks at all runs of the jobs; to be called with each update of the scheduler. */
-export function moveOverdue(
+/** Checks all runs of the jobs; to be called with each update of the scheduler. */
+export function moveOverdueTasks(
 	jobs: Iterable<GroupJob>,
 	sessions: Sessions,
-	look: Look,
+	check: OverdueCheck,
 ): void {
-	for (const {job, task} of listOverdue(jobs, look.now)) {
-		moveTask({job, task}, sessions, look);
+	for (const {job, task} of listOverdue(jobs, check.now)) {
+		handleOverdueTask({job, task}, sessions, check);
 	}
 }
 
-function moveTask(
+function handleOverdueTask(
 	{job, task}: {job: GroupJob; task: GroupTask},
 	sessions: Sessions,
-	{now, log}: Look,
+	{now, log}: OverdueCheck,
 ): void {
 	const session = sessions.get(task.executor ?? '');
 	const run = session?.runs.get(
@@ -44,15 +45,16 @@
 		return;
 	}
 
-	const isFirst = !run.isOverdue;
-	if (isFirst) {
+	const isNewlyOverdue = !run.isOverdue;
+	if (isNewlyOverdue) {
 		run.isOverdue = true;
 		recordOverdue(session.trust, now);
 	}
 
 	const isMoved =
-		!isHopeless(job, now + stopLimitMs) && isMovable(job, task, sessions);
-	if (isFirst || isMoved) {
+		!isPastLatestStart(job, now + stopLimitMs) &&
+		hasRoomElsewhere(job, task, sessions);
+	if (isNewlyOverdue || isMoved) {
 		log('run is overdue', {
 			job: job.id,
 			task: task.index,
@@ -69,8 +71,11 @@
 	}
 }
 
-/** Another sound executor, on which no run of it came to nothing, has room for the task now. */
-function isMovable(
+/**
+Whether another executor has room for the task now: one that is not doubted, and on which no earlier run of the
+task was unsuccessful.
+*/
+function hasRoomElsewhere(
 	{service, demand}: GroupJob,
 	{executor, avoid, moves}: GroupTask,
 	sessions: Sessions,
--- a/packages/scheduling/src/place-suspects.ts
+++ b/packages/scheduling/src/place-suspects.ts
@@ -1,8 +1,10 @@
 /**
-Where tasks go that executors have crashed under: alone on an executor, so that another crash convicts no sound task.
+Places suspects, tasks under which an executor has crashed or may have: each alone on an executor, so that
+another crash is blamed on no other task.
 
-Sound tasks that shared an executor with the cause are suspects as well, and clear themselves by ending. How many executors are
-risked at a time is bounded. Under load none is idle by itself: the least busy one gets nothing new until it is.
+Tasks that merely shared an executor with the cause of a crash are suspects too, and are cleared when they
+complete. The number of executors put at risk at a time is bounded. Under load no executor becomes idle by
+itself, so the least busy one gets no new tasks until it is idle.
 */
 import {type CrashVerdict} from './crash-records.js';
 import {type GroupJob, type GroupTask} from './group-job.js';
@@ -10,81 +12,88 @@
 import {compareJobs} from './rank-jobs.js';
 import {hasRoom} from './room.js';
 
-/** Of all executors, those that hold suspects or are kept free for one; at least one. */
-const suspectShare = 0.25;
-/** A task that has no more time left than so many run times no longer waits to be alone. */
-const urgentRuns = 1.5;
+/** Largest share of all executors that run suspects or are kept free for one; at least one executor. */
+const maxSuspectShare = 0.25;
+/** A task whose remaining time is at most this many run times no longer waits for an idle executor. */
+const urgentRunTimes = 1.5;
 
 export type SuspectActions<C extends Candidate> = {
 	now: number;
 	judge: (task: {job: string; index: number}) => CrashVerdict;
-	/** A task that runs there is a suspect. */
-	holdsSuspect: (executor: C) => boolean;
-	/** Waiting tasks of which nothing runs. */
-	listFree: (job: GroupJob) => GroupTask[];
+	/** Whether one of the executor's runs is of a suspect. */
+	hasSuspectRun: (executor: C) => boolean;
+	/** Lists waiting tasks of which nothing runs. */
+	listStartable: (job: GroupJob) => GroupTask[];
 	start: (job: GroupJob, task: GroupTask, executor: C) => void;
 };
 
 type Suspect = {job: GroupJob; task: GroupTask};
 
-/** Starts suspects; gives the executors that are left for other tasks. */
+/** Starts suspects; returns the executors that remain for other tasks. */
 export function placeSuspects<C extends Candidate>(
 	jobs: readonly GroupJob[],
 	executors: readonly C[],
 	actions: SuspectActions<C>,
 ): C[] {
-	const left = new Set(executors.filter((one) => !actions.holdsSuspect(one)));
-	const most = Math.max(1, Math.floor(executors.length * suspectShare));
+	const available = new Set(
+		executors.filter((executor) => !actions.hasSuspectRun(executor)),
+	);
+	const maxReserved = Math.max(
+		1,
+		Math.floor(executors.length * maxSuspectShare),
+	);
 	for (const suspect of listSuspects(jobs, actions)) {
-		if (executors.length - left.size >= most) {
+		if (executors.length - available.size >= maxReserved) {
 			break;
 		}
 
-		const executor = findPlace(suspect, left, actions.now);
+		const executor = findExecutor(suspect, available, actions.now);
 		if (executor) {
 			actions.start(suspect.job, suspect.task, executor);
 		}
 
-		const taken = executor ?? findLeastBusy(suspect.job, left, () => true);
-		if (taken) {
-			left.delete(taken);
+		const reserved =
+			executor ?? findLeastBusy(suspect.job, available, () => true);
+		if (reserved) {
+			available.delete(reserved);
 		}
 	}
 
-	return [...left];
+	return [...available];
 }
 
 function listSuspects<C extends Candidate>(
 	jobs: readonly GroupJob[],
-	{now, judge, listFree}: SuspectActions<C>,
+	{now, judge, listStartable}: SuspectActions<C>,
 ): Suspect[] {
 	return jobs
 		.toSorted((a, b) => compareJobs(a, b, now))
 		.flatMap((job) =>
-			listFree(job)
+			listStartable(job)
 				.filter(({index}) => judge({job: job.id, index}) === 'suspect')
 				.map((task) => ({job, task})),
 		);
 }
 
-function findPlace<C extends Candidate>(
+function findExecutor<C extends Candidate>(
 	{job, task: {avoid}}: Suspect,
 	executors: ReadonlySet<C>,
 	now: number,
 ): C | undefined {
-	const {service, demand, estimateMs, endsAt} = job;
+	const {service, demand, estimateMs, deadlineAt} = job;
 	const idle = [...executors].filter(({runCount}) => runCount === 0);
-	const alone = chooseExecutor(
+	const idleExecutor = chooseExecutor(
 		idle,
-		{service, demand, estimateMs, endsAt, avoid},
+		{service, demand, estimateMs, deadlineAt, avoid},
 		now,
 	);
-	const isUrgent = now + urgentRuns * estimateMs >= endsAt;
+	const isUrgent = now + urgentRunTimes * estimateMs >= deadlineAt;
 	return (
-		alone ?? (isUrgent ? findLeastBusy(job, executors, isRoomy) : undefined)
+		idleExecutor ??
+		(isUrgent ? findLeastBusy(job, executors, hasRoomForTask) : undefined)
 	);
 
-	function isRoomy({free}: C): boolean {
+	function hasRoomForTask({free}: C): boolean {
 		return hasRoom(free, demand);
 	}
 }
@@ -92,12 +101,14 @@
 function findLeastBusy<C extends Candidate>(
 	{service, demand}: GroupJob,
 	executors: ReadonlySet<C>,
-	isFit: (executor: C) => boolean,
+	isSuitable: (executor: C) => boolean,
 ): C | undefined {
 	return [...executors]
 		.filter(
-			(one) =>
-				one.service === service && hasRoom(one.capacity, demand) && isFit(one),
+			(executor) =>
+				executor.service === service &&
+				hasRoom(executor.capacity, demand) &&
+				isSuitable(executor),
 		)
 		.toSorted((a, b) => a.runCount - b.runCount || b.free.cpu - a.free.cpu)[0];
 }
--- a/packages/scheduling/src/place-task.ts
+++ b/packages/scheduling/src/place-task.ts
@@ -1,9 +1,9 @@
 /**
-Where a task goes: the executor with the most room among the sound ones that have enough.
+Chooses the executor for a task: of the sound ones that have enough room, the one with the most.
 
-For thin executors that take two or three tasks each. Spreading keeps room on many executors, so
-that a wide job starts at once. An executor that has proved slow, or is doubted, is used only when
-no other has room, and not for a task that it could not end in time.
+An executor takes only two or three tasks. Spreading them keeps room on many executors, so that a job with many
+tasks can start at once. An executor that has proved slow, or is doubted, is used only when no other has room; a
+slow one never for a task that it could not end in time.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
 import {
@@ -20,30 +20,30 @@
 	capacity: TaskDemand;
 	free: TaskDemand;
 	runCount: number;
-	/** A start could carry a lease of use. Undefined: it could. */
+	/** Whether the executor's lease can be extended far enough for a new run; undefined counts as true. */
 	isExtendable?: boolean;
 	trust: ExecutorTrust;
 };
 
-export type PlacedTask = {
+export type TaskRequirements = {
 	service: string;
 	demand: TaskDemand;
 	estimateMs: number;
-	/** Ending later is of no use. */
-	endsAt: number;
-	/** Executors where a run of the task came to nothing. */
+	/** When the caller stops waiting: a later end is of no use. */
+	deadlineAt: number;
+	/** Executors on which an earlier run of the task was unsuccessful; used only when no other has room. */
 	avoid: ReadonlySet<string>;
 };
 
 export function chooseExecutor<C extends Candidate>(
 	candidates: Iterable<C>,
-	task: PlacedTask,
+	task: TaskRequirements,
 	now: number,
 ): C | undefined {
 	let best: C | undefined;
 	let bestWeight = -Infinity;
 	for (const candidate of candidates) {
-		if (!isFit(candidate, task, now)) {
+		if (!isSuitable(candidate, task, now)) {
 			continue;
 		}
 
@@ -58,9 +58,9 @@
 }
 
 /** Whether the executor may take a task of this size now. */
-export function isFree(
+export function isAvailable(
 	candidate: Candidate,
-	task: Pick<PlacedTask, 'service' | 'demand'>,
+	task: Pick<TaskRequirements, 'service' | 'demand'>,
 	now: number,
 ): boolean {
 	const {service, free, trust, runCount} = candidate;
@@ -73,24 +73,31 @@
 	);
 }
 
-function isFit(candidate: Candidate, task: PlacedTask, now: number): boolean {
+function isSuitable(
+	candidate: Candidate,
+	task: TaskRequirements,
+	now: number,
+): boolean {
 	const slowness = computeSlowness(candidate.trust, now);
 	const isInTime =
-		slowness < slowFactor || now + task.estimateMs * slowness < task.endsAt;
-	return isFree(candidate, task, now) && isInTime;
+		slowness < slowFactor || now + task.estimateMs * slowness < task.deadlineAt;
+	return isAvailable(candidate, task, now) && isInTime;
 }
 
-/** Larger than any room: a class of executors goes before another whatever is free. */
-const classStep = 1e9;
+/**
+Weight of one demerit. Larger than any free capacity, so that an executor with fewer demerits goes before another
+however much room that has.
+*/
+const demeritWeight = 1e9;
 
 function weighExecutor(
 	{id, free, trust}: Candidate,
-	{avoid}: PlacedTask,
+	{avoid}: TaskRequirements,
 	now: number,
 ): number {
 	const demerits =
 		Number(computeSlowness(trust, now) > slowFactor) * 2 +
 		Number(isDoubted(trust)) * 4 +
 		Number(avoid.has(id)) * 8;
-	return free.cpu - demerits * classStep;
+	return free.cpu - demerits * demeritWeight;
 }
--- a/packages/scheduling/src/place-waiting.ts
+++ b/packages/scheduling/src/place-waiting.ts
@@ -1,14 +1,16 @@
 /**
-One round over the jobs that wait at a scheduler: in their order, each task is started where there is room, tasks that
-find none go back while another group has room for them, and jobs that can no longer end in time go back at once.
+Runs one placing round over a scheduler's waiting jobs, in their rank order. Each task is started where there is
+room. Tasks that find none are returned while another group has room for them, and jobs that can no longer end
+in time are returned at once.
 
-For saturation: what goes before a job may take longer than its caller has use for an answer. That is known when the job is
-ranked; told only when its time is over, the caller has waited for nothing, and could not come again while it was of use.
+At saturation the jobs ahead of one may take longer than its caller waits for an answer. This is known as soon
+as the jobs are ranked. If the caller were told only at its deadline, it would have waited for nothing and could
+no longer resend the job in time.
 */
 import {type Ends} from '@gentianshift/protocol';
 import {
 	countWaiting,
-	isHopeless,
+	isPastLatestStart,
 	listWaiting,
 	type GroupJob,
 	type GroupTask,
@@ -17,16 +19,19 @@
 import {type PlacingRound} from './placing-round.js';
 import {compareJobs} from './rank-jobs.js';
 
-/** A task is given back for room elsewhere this often at most: what is told of that room is some milliseconds old. */
+/**
+A task is returned for room in another group this often at most: what is known of that room is some milliseconds
+old.
+*/
 const maxShifts = 2;
 
 export type PlacingActions<C extends Candidate> = {
-	/** Waiting tasks of which nothing runs: only these may be started or given back. */
-	listFree: (job: GroupJob) => GroupTask[];
-	/** No executor has crashed under the task. */
+	/** Lists waiting tasks of which nothing runs: only these may be started or given back. */
+	listStartable: (job: GroupJob) => GroupTask[];
+	/** Whether no executor has crashed under the task, nor may have. */
 	isSound: (job: GroupJob, task: GroupTask) => boolean;
 	start: (job: GroupJob, task: GroupTask, executor: C) => void;
-	/** Without tasks named, all that are free. */
+	/** Returns tasks to their entry; without `tasks`, all that `listStartable` lists. */
 	giveBack: (
 		job: GroupJob,
 		reason: NonNullable<Ends['reason']>,
@@ -42,24 +47,24 @@
 	const ranked = jobs.toSorted((a, b) => compareJobs(a, b, round.now));
 	let aheadMs = 0;
 	for (const job of ranked) {
-		if (isHopeless(job, round.now)) {
+		if (isPastLatestStart(job, round.now)) {
 			actions.giveBack(job, 'hopeless');
 			continue;
 		}
 
 		if (!startTasks(job, round, actions)) {
 			shiftTasks(job, round, actions);
-			if (isHopeless(job, round.now + aheadMs)) {
+			if (isPastLatestStart(job, round.now + aheadMs)) {
 				actions.giveBack(job, 'hopeless');
 			}
 
-			aheadMs += measureWaitingMs(job, round);
+			aheadMs += computeBusyMs(job, round);
 		}
 	}
 }
 
-/** How long all executors of the round are busy with the job's waiting tasks at least. */
-function measureWaitingMs<C extends Candidate>(
+/** Least time for which the job's waiting tasks keep all executors of the round busy. */
+function computeBusyMs<C extends Candidate>(
 	job: GroupJob,
 	{capacityCpu}: PlacingRound<C>,
 ): number {
@@ -67,25 +72,25 @@
 	return capacityCpu > 0 ? work / capacityCpu : 0;
 }
 
-/** False: there was no room for one of its tasks. */
+/** Starts the job's tasks; returns false if there was no room for one of them. */
 function startTasks<C extends Candidate>(
 	job: GroupJob,
 	{now, candidates, hasRoomFor}: PlacingRound<C>,
-	{listFree, isSound, start}: PlacingActions<C>,
+	{listStartable, isSound, start}: PlacingActions<C>,
 ): boolean {
-	const {service, demand, estimateMs, endsAt} = job;
+	const {service, demand, estimateMs, deadlineAt} = job;
 	if (!hasRoomFor(service, demand)) {
 		return false;
 	}
 
-	for (const task of listFree(job)) {
+	for (const task of listStartable(job)) {
 		if (!isSound(job, task)) {
 			continue;
 		}
 
 		const {avoid} = task;
-		const wanted = {service, demand, estimateMs, endsAt, avoid};
-		const executor = chooseExecutor(candidates, wanted, now);
+		const requirements = {service, demand, estimateMs, deadlineAt, avoid};
+		const executor = chooseExecutor(candidates, requirements, now);
 		if (!executor) {
 			return false;
 		}
@@ -96,18 +101,20 @@
 	return true;
 }
 
-/** Tasks that find no room here go back while another group has room for them now. */
+/** Returns tasks that find no room here while another group has room for them now. */
 function shiftTasks<C extends Candidate>(
 	job: GroupJob,
-	{takeElsewhere}: PlacingRound<C>,
-	{listFree, giveBack}: PlacingActions<C>,
+	{takeRoomElsewhere}: PlacingRound<C>,
+	{listStartable, giveBack}: PlacingActions<C>,
 ): void {
 	const waiting = listWaiting(job).filter((task) => isShiftable(task));
-	const taken =
-		waiting.length === 0 ? 0 : takeElsewhere(job.demand.cpu, waiting.length);
-	if (taken > 0) {
-		const free = listFree(job).filter((task) => isShiftable(task));
-		giveBack(job, 'elsewhere', free.slice(0, taken));
+	const tasksWithRoom =
+		waiting.length === 0
+			? 0
+			: takeRoomElsewhere(job.demand.cpu, waiting.length);
+	if (tasksWithRoom > 0) {
+		const startable = listStartable(job).filter((task) => isShiftable(task));
+		giveBack(job, 'elsewhere', startable.slice(0, tasksWithRoom));
 	}
 }
 
