--- a/packages/scheduling/src/answer-times.test.ts
+++ b/packages/scheduling/src/answer-times.test.ts
@@ -1,14 +1,18 @@
 /**
-When an answer counts as lost: quick and slow ways to executors, and a way that has turned slow.
+The time-out for executors' answers on fast and slow connections, and on one that becomes slow.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {createAnswerTimes} from './answer-times.js';
 import {orderTimeoutMs} from './timing.js';
 
-test('a lost answer is noticed soon where answers come at once', () => {
+test('the time-out is short while answers arrive quickly', () => {
 	const times = createAnswerTimes();
-	assert.equal(times.getLimitMs(), orderTimeoutMs, 'nothing is known yet');
+	assert.equal(
+		times.getLimitMs(),
+		orderTimeoutMs,
+		'no answer has been measured yet',
+	);
 	for (let i = 0; i < 20; i += 1) {
 		times.note(2 + (i % 3));
 	}
@@ -16,8 +20,8 @@
 	assert.ok(times.getLimitMs() <= 50);
 });
 
-// The host is short of processor time and reads answers late. Taken for lost, tasks that run would be stopped.
-test('answers that take long are waited for', () => {
+// The host is short of processor time and reads answers late. If these counted as lost, running tasks would be stopped.
+test('the time-out is longer than slow answers take', () => {
 	const times = createAnswerTimes();
 	for (let i = 0; i < 20; i += 1) {
 		times.note(i % 2 === 0 ? 10 : 60);
@@ -26,8 +30,8 @@
 	assert.ok(times.getLimitMs() > 60);
 });
 
-// All answers have turned slower than the bound, so that none comes within it to tell.
-test('a bound that no answer meets grows', () => {
+// All answers have become slower than the time-out. None arrives within it, so no sample would raise the estimate.
+test('the time-out grows after several lost answers in a row', () => {
 	const times = createAnswerTimes();
 	times.note(2);
 	for (let i = 0; i < 3; i += 1) {
--- a/packages/scheduling/src/answer-times.ts
+++ b/packages/scheduling/src/answer-times.ts
@@ -1,25 +1,33 @@
 /**
-How long executors' answers take, and so when one that has not come counts as lost.
+Derives the time-out of calls to executors from how long their answers take.
 
-For executors that leave some orders unanswered: each lost one holds a task, or the word of its end, until it is noticed. Counted from
-the answers that come, the bound is short while they come at once, and grows when this host or the way there is slow.
+An executor may leave a call unanswered. The task, or the report of its end, is held up until the caller notices the
+loss, so the time-out should be short. It is estimated from the answers that do arrive: short while they are fast,
+longer while this host or the network is slow.
 */
 import {orderTimeoutMs} from './timing.js';
 
-/** Shorter than a busy host's pause it would call answers lost that lie unread. */
+/**
+A busy host pauses for up to this long. With a shorter time-out, answers received but not yet read would count as
+lost.
+*/
 const leastLimitMs = 40;
-/** Weights of one more answer in the mean and in the deviation, as for the retransmission of TCP. */
+/** Weights of a new sample in the moving mean and deviation, as in TCP's retransmission timer. */
 const meanWeight = 1 / 8;
 const deviationWeight = 1 / 4;
 const deviations = 4;
-/** So many calls in a row without an answer are no chance: the bound grows until one comes. */
+/**
+After this many lost answers in a row the estimate is taken to be too short: the longest time-out applies until one
+arrives.
+*/
 const lostInRow = 3;
 
 export type AnswerTimes = {
+	/** A call was answered, or failed, within the time-out. `tookMs`: how long that took. */
 	note: (tookMs: number) => void;
-	/** A call had no answer within the bound. */
+	/** A call had no answer within the time-out. */
 	noteLost: () => void;
-	/** Milliseconds after which an answer counts as lost. */
+	/** The time-out, milliseconds. */
 	getLimitMs: () => number;
 };
 
@@ -27,7 +35,7 @@
 @example
 const times = createAnswerTimes();
 times.note(2);
-times.getLimitMs(); // 40: never less
+times.getLimitMs(); // 40: the minimum
 */
 export function createAnswerTimes(): AnswerTimes {
 	let mean: number | undefined;
--- a/packages/scheduling/src/capped-lease.test.ts
+++ b/packages/scheduling/src/capped-lease.test.ts
@@ -1,5 +1,5 @@
 /**
-Executors whose lease can't be extended, as a run there has outlived its claim.
+Executors whose lease can't be extended because a run there has outlived its claim.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -12,15 +12,16 @@
 
 const long = {estimateMs: 5000, timeLeftMs: 20_000};
 
-// Guards against a busy holder that starts a task again at each message while no start can be sent: the time for this is missing elsewhere, and attempts run away.
-test('a task is not started again and again on an executor whose lease can not be extended', async () => {
+// While the lease can't be extended, no start can be sent. A holder that retried the start with each message it reads
+// would raise the attempt number without limit, and spend the processor time that its other work needs.
+test('a start is not retried with each message while the lease of the executor can not be extended', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 5000,
 	});
 	scheduler.receivePart(entry, makePart(clock, long));
 	await clock.run(20);
-	// The holder's host is busy for so long that the first claim ends; then it reads what has come meanwhile.
+	// The holder's host is busy until the first claim has ended, then reads the messages received meanwhile.
 	clock.now += orphanLimitMs;
 	const other = createEntry('mieres_m2.0');
 	scheduler.receivePart(
@@ -29,7 +30,7 @@
 	);
 	for (let i = 0; i < 100; i += 1) {
 		scheduler.dropJob(other, {
-			job: `job that is not here ${i}`,
+			job: `unknown job ${i}`,
 			takenAtMs: Infinity,
 		});
 		scheduler.receivePart(
--- a/packages/scheduling/src/changing-capacity.test.ts
+++ b/packages/scheduling/src/changing-capacity.test.ts
@@ -24,7 +24,7 @@
 const demand = {cpu: 14_000, memoryMb: 64, accelerators: 0};
 const large = {...demand, cpu: 28_000};
 
-/** What the executor says of its room from now on, as the scheduler's next list shows it. */
+/** Changes the capacity that the first executor reports, and gives the scheduler the new list of executors. */
 function sayCapacity(
 	executors: FakeExecutors,
 	scheduler: {setExecutors: (list: FakeExecutors['executors']) => void},
@@ -39,8 +39,8 @@
 	return fakes.reduce((sum, {active}) => sum + active.length, 0);
 }
 
-// Guards against starts on an executor whose room shrank below what runs there.
-test('an executor with less room than its runs need gets nothing until enough of them have ended', async () => {
+// The capacity shrinks below what the runs use. A start before enough of them have ended would overload the executor.
+test('an executor whose runs exceed its capacity gets no start until enough of them have ended', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: ({job}) => (job === 'job1' ? 400 : 100),
@@ -63,8 +63,8 @@
 	assert.deepEqual(listOutcomes(entry), ['done', 'done', 'done', 'done']);
 });
 
-// Guards against room that is told to entries although nothing can be started there.
-test('an executor without memory left offers no processor', async () => {
+// Entries would send tasks to free processor time that no task can use.
+test('an executor without free memory offers no processor time', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({count: 1});
 	scheduler.receivePart(entry, makePart(clock));
 	await runFor(clock, 50, [[scheduler, entry]]);
@@ -72,8 +72,8 @@
 	assert.deepEqual(scheduler.describeState().free, [0]);
 });
 
-// Guards against starts in the room of a run that has been told to stop and still runs.
-test('a run that is being stopped counts until its end is listed', async () => {
+// A stop is answered before the run has ended. A start in the room of that run would overload the executor.
+test('a run that is being stopped uses room until the executor reports its end', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 2000,
@@ -98,8 +98,9 @@
 	assert.deepEqual(findOverfull(executors, 0), []);
 });
 
-// Guards against starts beside one that was carried out late, and is being stopped when its executor answers again.
-test('a start that was carried out during a silence counts until it is gone', async () => {
+// A start gets no answer and is carried out late, while the executor is silent. When the executor answers again, that
+// run is stopped; a start before it has ended would overload the executor.
+test('a run that started late during a silence uses room until it has ended', async () => {
 	let isSilent = false;
 	let lateMs = 0;
 	const {clock, executors, scheduler, entry} = await openScheduler({
@@ -139,8 +140,8 @@
 	assert.deepEqual(findOverfull(executors, 0), []);
 });
 
-// Guards against growing room that stays unused.
-test('room that has grown is used with the next list', async () => {
+// The added room would stay unused while tasks wait.
+test('a capacity that has grown is used as soon as the next list shows it', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		cpu: 10_000,
@@ -157,7 +158,10 @@
 	assert.equal(countActive(executors), 2);
 });
 
-/** A holder has a large task run and is gone; the next one gets a part for another job before that of the large task. */
+/**
+The first holder starts a large task and closes. The second one receives the part of another job before that of the
+large task.
+*/
 async function takeOver(isGuarded: boolean) {
 	const starts: string[] = [];
 	const clock = new VirtualClock();
@@ -194,8 +198,9 @@
 	return {clock, executors, entry, second, part, starts};
 }
 
-// Guards against starts beside a run whose size the new holder can only guess.
-test('a new holder starts nothing on an executor that does not guard its capacity until it knows what its runs need', async () => {
+// A new holder can only estimate the demand of a run that it has found. If the run needs more, a start would overload
+// an executor that does not refuse it.
+test('a new holder starts nothing on an executor that does not enforce its capacity until it knows the demand of its runs', async () => {
 	const {clock, executors, entry, second, part} = await takeOver(false);
 	assert.equal(executors.runs.length, 1);
 	assert.deepEqual(second.describeState().free, [0]);
@@ -207,16 +212,16 @@
 	assert.deepEqual(listOutcomes(entry), ['done', 'done', 'done']);
 });
 
-// Guards against an executor left idle for runs that nobody claims.
-test('a run that nobody claims leaves an executor that does not guard its capacity once it is gone', async () => {
+// The executor would stay idle because of a run whose demand no entry will ever tell.
+test('an executor that does not enforce its capacity gets tasks again once an unclaimed run has been stopped', async () => {
 	const {clock, executors, entry, second} = await takeOver(false);
 	await runFor(clock, claimLimitMs + 2 * renewWaitMs, [[second, entry]]);
 	assert.equal(countActive(executors), 2);
 	assert.deepEqual(findOverfull(executors, 0), []);
 });
 
-// Guards against starts that are refused again and again, each at a price.
-test('an executor that has refused a start for want of room gets nothing until its room changes', async () => {
+// The start would be sent and refused again and again, and each attempt costs a call.
+test('an executor that has refused a start for lack of room gets no other until its room changes', async () => {
 	const {clock, executors, entry, second, part, starts} = await takeOver(true);
 	second.receivePart(entry, {...part, stateAt: clock.now, isMoved: true});
 	await runFor(clock, 50, [[second, entry]]);
@@ -228,8 +233,9 @@
 	assert.deepEqual(listOutcomes(entry), ['done', 'done', 'done']);
 });
 
-// Guards against a task that goes to a worse executor for a refusal that says nothing of either.
-test('a refusal for want of room does not count against the executor or the task', async () => {
+// A refusal for lack of room is no fault of the executor or the task. If it counted as one, the task would go to a
+// worse executor.
+test('a refusal for lack of room does not count against the executor or the task', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 2,
 		taskMs: 2000,
@@ -251,8 +257,8 @@
 	);
 });
 
-// Guards against an executor that is never tried again after a refusal.
-test('an executor that has refused a start is tried again after a short rest', async () => {
+// Otherwise an executor would never be tried again after a refusal.
+test('an executor that has refused a start is tried again after a short pause', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 2000,
@@ -269,7 +275,7 @@
 	assert.equal(countActive(executors), 1);
 });
 
-// Guards against room that stays unused for the rest after a refusal, although it is known to have changed.
+// Room that is known to have changed would stay unused for the whole pause after a refusal.
 test('an executor that has refused a start is tried again at once when its room changes', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
--- a/packages/scheduling/src/choose-holder.test.ts
+++ b/packages/scheduling/src/choose-holder.test.ts
@@ -1,5 +1,5 @@
 /**
-When a group counts as without a holder.
+When a group counts as vacant, and how long each host waits before it takes the group over.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -28,35 +28,35 @@
 	};
 }
 
-test('a holder that tells its state keeps its group', () => {
+test('a holder whose state arrives keeps its group', () => {
 	assert.equal(isVacant(makeView()), false);
 	assert.equal(isVacant(makeView({silentMs: holderSilenceMs})), false);
 });
 
-test('a holder that is silent, leaving or has given the group up loses it', () => {
+test('a group is vacant if its holder is unknown, silent, leaving or has released it', () => {
 	assert.ok(isVacant(makeView({silentMs: holderSilenceMs + 1})));
 	assert.ok(isVacant(makeView({isLeaving: true})));
 	assert.ok(isVacant(makeView({isReleased: true})));
 	assert.ok(isVacant({ownStoreAgeMs: 0, isOwnListComplete: false}));
 });
 
-// A holder is cut off from the store alone: it would not see executors drain. But when the store is
-// down for everyone, changing holders would help nobody.
-test('a holder without the store loses its group only to a host that has it', () => {
+// A holder that is cut off only from the store does not see executors drain. While the store is down for all hosts,
+// another holder would be no better off.
+test('a holder that can not reach the store loses its group only to a host that can', () => {
 	const blind = makeView({storeAgeMs: storeSilenceMs + 1});
 	assert.ok(isVacant(blind));
 	assert.equal(isVacant({...blind, ownStoreAgeMs: storeSilenceMs + 1}), false);
 });
 
-// The store is back after an outage, and one host hears of it a moment before the holder does. The
-// executors' entries have lapsed meanwhile. A host that takes the group over with the first list finds
-// no executor in it, and the data centre's callers are refused until the entries are back.
-test('a holder that has not heard of the returned store yet keeps its group', () => {
+// After a store outage one host reaches the store a moment before the holder does. Executors' registrations have lapsed
+// meanwhile. A host that took the group over with its first list would find no executor there, and would refuse
+// the data centre's callers until executors have registered again.
+test('a holder that can not reach the store yet keeps its group while the other host’s list is incomplete', () => {
 	const blind = makeView({storeAgeMs: storeSilenceMs + 1});
 	assert.equal(isVacant({...blind, isOwnListComplete: false}), false);
 });
 
-test('hosts try one after the other, and later without the store', () => {
+test('hosts try one after the other, and later while the store is unreachable', () => {
 	const first = computeTakeoverDelay(0, {isStoreReached: true});
 	const second = computeTakeoverDelay(1, {isStoreReached: true});
 	const storeless = computeTakeoverDelay(0, {isStoreReached: false});
--- a/packages/scheduling/src/choose-holder.ts
+++ b/packages/scheduling/src/choose-holder.ts
@@ -1,23 +1,26 @@
 /**
-Whether a host takes a group whose holder is gone, and when: the hosts that could, in an order
-that all of them work out alike, one step apart.
+Decides whether and when a host takes over a group whose holder is killed, frozen, stopped or cut off.
 
-For a holder that is killed, frozen, stopped or cut off. The first in the order takes the group at
-once; the next waits a step for it, so that two rarely try, and a first one that cannot is
-passed over. The store's condition and the executors' fence settle it when two do try.
+All candidate hosts compute the same ranking. The first takes the group over at once; each further one waits one step
+longer. So two hosts rarely try at the same time, and a first host that fails is followed by the next. If two do try,
+the store's conditional write and the executors' fencing tokens decide between them.
 */
 
-/** A holder that told nothing for this long is taken for gone: four of its words are missing. */
+/** A holder whose state was not received for this long counts as gone: four state messages are missing. */
 export const holderSilenceMs = 700;
-/** A holder that has not heard of the store for this long can't see executors come and go: another takes over. */
+/**
+A holder that the store has not answered for this long can't see executors join and leave: another host takes over.
+*/
 export const storeSilenceMs = 2500;
-/** What the next in the order waits: one takeover's calls of the store, with room for a slow answer. */
+/** Delay between one rank and the next: the store calls of one takeover, with a margin for a slow answer. */
 export const rankStepMs = 300;
-/** Without the store nobody arbitrates, so a takeover waits longer: a short outage of it changes no holder. */
+/**
+Further delay while the store can't be reached: nothing arbitrates then, and a short outage should change no holder.
+*/
 export const storelessDelayMs = 1200;
 
 export type HolderView = {
-	/** The holder as it told of itself; undefined: none is known. */
+	/** The holder's state as last received; undefined: no holder is known. */
 	holder?: {
 		isSelf: boolean;
 		isReleased: boolean;
@@ -25,18 +28,18 @@
 		silentMs: number;
 		storeAgeMs: number;
 	};
-	/** This host's store age, milliseconds. */
+	/** Time since the store last answered this host, milliseconds. */
 	ownStoreAgeMs: number;
-	/** This host has read lists of executors for as long as lapsed entries take to come back. */
+	/** This host has read executor lists for as long as executors need to restore registrations that lapsed. */
 	isOwnListComplete: boolean;
 };
 
 /**
 Whether the group needs another holder, as far as this host can see.
 
-A holder without the store is replaced only by a host whose list is complete: right after an outage one
-host hears of the store before the others do, and the holder, which remembers the executors whose
-entries lapsed, does better without a successor that finds none of them listed.
+A holder that has lost the store is replaced only by a host whose executor list is complete. Right after a store outage
+one host reaches the store before the others do. Executors' registrations have lapsed meanwhile; the holder still
+knows the executors, while a successor would find none of them listed.
 */
 export function isVacant({
 	holder,
@@ -63,7 +66,9 @@
 	);
 }
 
-/** Milliseconds of vacancy after which the host of this rank (0 first) tries. */
+/**
+How long the group has to be vacant before the host of this rank (0 is first) tries to take it over, milliseconds.
+*/
 export function computeTakeoverDelay(
 	rank: number,
 	{isStoreReached}: {isStoreReached: boolean},
--- a/packages/scheduling/src/coordination-store.ts
+++ b/packages/scheduling/src/coordination-store.ts
@@ -1,20 +1,20 @@
 /**
-The small key-value store that hosts find one another in and that arbitrates who holds a group.
-Implemented by the platform's adapter and by stand-ins.
+The key-value store through which hosts discover one another and which arbitrates who holds a group.
+Implemented by the platform's adapter and by test doubles.
 
-It is slow, down or lying at times. A call without an answer may have been carried out, or may be
-later; keys under a lease may vanish early.
+The store can be slow, down or return wrong data. A call without an answer may have been carried out, or may be
+carried out later. Keys under a lease may be removed before the lease ends.
 */
 import {type ResultAsync} from 'neverthrow';
 
 export type StoreItem = {key: string; value: string; revision: number};
 
 /**
-- `unavailable`: nothing was done, or the call was a read.
-- `unknown-outcome`: a change may have been made.
-- `conflict`: a condition of the change does not hold.
+- `unavailable`: nothing was changed, or the call was a read.
+- `unknown-outcome`: the change may have been made.
+- `conflict`: an expected revision of the change does not match.
 - `no-lease`: the lease has ended.
-- `compacted`: the history asked for is gone: read all again.
+- `compacted`: the store no longer has the history from that revision: read the prefix again.
 */
 export type StoreFailure = {
 	code:
@@ -39,27 +39,27 @@
 	| {type: 'delete'; key: string; revision: number};
 
 export type CoordinationStore = {
-	/** `mayBeStale`: a read that is cheaper and may be seconds old. */
+	/** `mayBeStale`: allows a cheaper read whose result may be seconds old. */
 	readPrefix: (
 		prefix: string,
 		options?: {mayBeStale?: boolean},
 	) => ResultAsync<{items: StoreItem[]; revision: number}, StoreFailure>;
-	/** Undefined: no such key. */
+	/** Undefined: the key does not exist. */
 	readKey: (key: string) => ResultAsync<StoreItem | undefined, StoreFailure>;
-	/** Events after a revision; empty when there was none within the wait. */
+	/** Events after the revision; empty if none occurred within `waitMs`. */
 	watchPrefix: (
 		prefix: string,
 		afterRevision: number,
 		waitMs: number,
 	) => ResultAsync<{events: StoreEvent[]; revision: number}, StoreFailure>;
-	/** All of it or nothing; gives the new revision. */
+	/** Applies the whole change or none of it; returns the new revision. */
 	commit: (
 		change: StoreChange,
 	) => ResultAsync<{revision: number}, StoreFailure>;
 	createLease: (ttlMs: number) => ResultAsync<{leaseId: number}, StoreFailure>;
 	renewLease: (leaseId: number) => ResultAsync<void, StoreFailure>;
 	endLease: (leaseId: number) => ResultAsync<void, StoreFailure>;
-	/** When the store last answered, on this host's clock; undefined: never. */
+	/** When the store last answered, on this host's clock; undefined: it has not answered yet. */
 	getAnsweredAt: () => number | undefined;
 	close: () => Promise<void>;
 };
--- a/packages/scheduling/src/ends-outbox.ts
+++ b/packages/scheduling/src/ends-outbox.ts
@@ -1,33 +1,38 @@
 /**
-What a scheduler tells entries of their tasks. Ends of one turn go in one message a job; ends that
-were told are remembered for a while, and told again when the entry's part comes again.
+The `ends` messages that a scheduler sends to entries. An end says how one placement of a task ended: it is
+done, it has failed, or it is returned (it neither runs nor will run here). Ends that are added in one turn of the
+event loop go out in one message per job. Ends are kept for a while after sending, and sent again when the entry sends
+the same part again.
 */
 import {type Ends, type Part, type TaskEnd} from '@gentianshift/protocol';
 import {type GroupJob, type GroupTask} from './group-job.js';
 import {createToldEnds} from './told-ends.js';
 
 export type EndsOutbox = {
-	/** To be told with the others of this turn. */
+	/** Queues an end for the next `flush`. */
 	add: (job: GroupJob, end: TaskEnd, now: number) => void;
-	/** Tells at once that tasks are not started here. */
+	/** Sends at once that these tasks are returned to the entry, as they are not started here. */
 	giveBack: (
 		job: GroupJob,
 		tasks: readonly GroupTask[],
 		reason: NonNullable<Ends['reason']>,
 		now: number,
 	) => void;
-	/** The first task of the job is being started: from now on a refusal would not be true. */
+	/**
+	Sends at once that the first task of the job is being started: the entry may no longer refuse the job as
+	unstarted.
+	*/
 	tellStarted: (job: GroupJob) => void;
-	/** The ends of a part's tasks that were told before, and may not have arrived. */
+	/** Queues the ends that were sent before for tasks of this part: they may not have arrived. */
 	tellAgain: (job: GroupJob, part: Part) => void;
-	/** This placement of the task has ended, and its entry was told. */
+	/** The end of this placement of the task was sent to its entry. */
 	isTold: (job: GroupJob, task: GroupTask) => boolean;
-	/** Tells what was added in this turn. */
+	/** Sends the queued ends. */
 	flush: () => void;
 	forgetOld: (now: number) => void;
 };
 
-/** `token`: of the holder that tells. */
+/** `token`: the fencing token of the holder that sends the ends. */
 export function createEndsOutbox(token: number): EndsOutbox {
 	const told = createToldEnds();
 	const waiting = new Map<GroupJob, TaskEnd[]>();
--- a/packages/scheduling/src/executor-control.ts
+++ b/packages/scheduling/src/executor-control.ts
@@ -1,19 +1,19 @@
 /**
-What a scheduler asks of executors. Implemented by the platform's adapter and by stand-ins.
+The calls that a scheduler makes to executors. Implemented by the platform's adapter and by test doubles.
 
-Every call carries the group's fencing token: an executor obeys no token below the highest it has
-seen. Times of an executor are on its own steady clock, which may run up to 2% slow.
+Every call carries the group's fencing token: an executor refuses a call whose token is below the highest it has seen.
+Times of an executor are on its own monotonic clock, which may run up to 2% slow.
 */
 import {type ResultAsync} from 'neverthrow';
 import {type Executor} from './executor.js';
 
-/** One run: a task, by its job and its place there, and the number of its start. */
+/** Identifies one run: the job, the index of the task in that job, and the number of the start (from 1). */
 export type RunName = {job: string; index: number; attempt: number};
 
 export type RunEnd = RunName & {
-	/** Rises by one with each end of this executor's life. */
+	/** Rises by one with each end that this executor process reports. */
 	sequence: number;
-	/** `failed` is the task's or the executor's own fault; `ended`: stopped, or its lease lapsed. */
+	/** `failed`: the task or the executor failed; `ended`: the run was stopped or its lease lapsed. */
 	outcome: 'done' | 'failed' | 'ended';
 };
 
@@ -21,24 +21,24 @@
 	/** The executor's clock when it answered, milliseconds. */
 	clockMs: number;
 	running: RunName[];
-	/** Ends that have not been acknowledged. */
+	/** Ends that the scheduler has not acknowledged yet. */
 	ended: RunEnd[];
-	/** More ends than fit into one reply: the others come after these have been acknowledged. */
+	/** There are more ends than fit into one reply; the others follow once these are acknowledged. */
 	hasMoreEnds: boolean;
 };
 
 /**
-Why a call to an executor came to nothing.
+Why a call to an executor failed.
 
-- `fenced`: another scheduler with a higher token has the group.
-- `outdated`: that attempt, or a later one, has run or been stopped there.
-- `lease-passed`: the lease that the start carried had run out on the executor's clock.
-- `no-room`: the executor does not have the room free.
-- `unhealthy`: it declined; nothing was done.
-- `replaced`: another life of the executor answers at this address.
+- `fenced`: another scheduler with a higher token holds the group.
+- `outdated`: this attempt of the task, or a later one, was already started or stopped on the executor.
+- `lease-passed`: the lease that the start carried had expired on the executor's clock.
+- `no-room`: the executor has too little free capacity.
+- `unhealthy`: the executor refused the call as unhealthy; nothing was done.
+- `replaced`: another process of the executor (it was restarted) answers at this address.
 - `unreachable`: no connection was made; nothing was done.
-- `unanswered`: the call may have been carried out, or may be later.
-- `rejected`: the executor calls the request invalid.
+- `unanswered`: the call may have been carried out, or may be carried out later.
+- `rejected`: the executor considers the request invalid.
 */
 export type CallFailure = {
 	code:
@@ -52,11 +52,11 @@
 		| 'unanswered'
 		| 'rejected';
 	message: string;
-	/** The executor's clock, where it answered. */
+	/** The executor's clock, milliseconds, if the executor answered. */
 	clockMs?: number;
 };
 
-/** An answer that has not come after this long, beside what the call waits for by itself, counts as lost; milliseconds. */
+/** Time-out for the answer, milliseconds, in addition to the call's own `waitMs`. */
 type AnswerLimit = {answerLimitMs: number};
 
 export type StopRequest = RunName & AnswerLimit & {token: number};
@@ -64,18 +64,20 @@
 export type StartRequest = RunName &
 	AnswerLimit & {
 		spec: string;
-		/** On the executor's clock; covers everything that runs there, and never gets shorter. */
+		/**
+		End of the lease on the executor's clock. The lease covers all runs on the executor and is never shortened.
+		*/
 		leaseUntilMs: number;
 		token: number;
 	};
 
 export type LeaseRequest = AnswerLimit & {
 	token: number;
-	/** Ends up to this sequence have been taken note of; the executor forgets them. */
+	/** The scheduler has recorded all ends up to this sequence; the executor may discard them. */
 	acknowledged: number;
-	/** Absent: the lease stays as it is. */
+	/** New end of the lease on the executor's clock; absent: the lease is not extended. */
 	leaseUntilMs?: number;
-	/** The executor answers when a task ends, at latest after this long. */
+	/** The executor answers when a run ends, at the latest after this long. */
 	waitMs: number;
 };
 
@@ -92,6 +94,6 @@
 		executor: Executor,
 		request: LeaseRequest,
 	) => ResultAsync<LeaseReply, CallFailure>;
-	/** Closes what is kept open to an executor that has left the group. */
+	/** Closes the connections to an executor that has left the group. */
 	forgetExecutor: (executor: Executor) => void;
 };
--- a/packages/scheduling/src/executor-lease.test.ts
+++ b/packages/scheduling/src/executor-lease.test.ts
@@ -1,31 +1,31 @@
 /**
-How a scheduler reckons the lease of what runs on an executor.
+How a scheduler tracks the lease that covers the runs on an executor.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {createExecutorLease} from './executor-lease.js';
 import {clockSlackMs, leaseMs} from './timing.js';
 
-test('a lease is told on the executor’s clock', () => {
+test('the end of a lease is given on the executor’s clock', () => {
 	const lease = createExecutorLease();
 	lease.setClock(5000, 100);
 	assert.equal(lease.extend(Infinity, 150), 5000 + 50 + leaseMs);
 });
 
-test('a lease goes no further than its cap, and not at all once that has passed', () => {
+test('a lease is not extended beyond its cap, and not at all once the cap has passed', () => {
 	const lease = createExecutorLease();
 	lease.setClock(5000, 100);
 	assert.equal(lease.extend(130, 100), 5030);
 	assert.equal(lease.extend(99, 100), undefined);
 });
 
-test('nothing is extended before the executor’s clock is known', () => {
+test('a lease is not extended before the executor’s clock is known', () => {
 	assert.equal(createExecutorLease().extend(Infinity, 100), undefined);
 });
 
-// A scheduler takes a lease for passed too soon, as the executor's clock goes slower than its own, and starts the
-// task elsewhere: it runs twice.
-test('a lease has passed only when the slowest clock says so, and a shorter one takes nothing back', () => {
+// The executor's clock runs slower than the scheduler's. If the scheduler took the lease for expired too early, it
+// would start the task elsewhere while the first run still goes on.
+test('a lease has passed only when it has on the slowest clock allowed, and an earlier end does not shorten it', () => {
 	const lease = createExecutorLease();
 	lease.setClock(5000, 100);
 	lease.extend(Infinity, 100);
@@ -34,7 +34,8 @@
 	assert.ok(lease.hasPassed(100 + leaseMs + clockSlackMs + 1));
 });
 
-// A new holder finds a run on an executor that answers nothing after that. An earlier holder may have renewed the lease just before.
+// A new holder finds a run on an executor that then stops answering. An earlier holder may have renewed the lease
+// just before.
 test('a lease that an earlier holder may have renewed has not passed', () => {
 	const lease = createExecutorLease();
 	lease.assumeRenewed(100);
--- a/packages/scheduling/src/executor-lease.ts
+++ b/packages/scheduling/src/executor-lease.ts
@@ -1,23 +1,24 @@
 /**
-The lease of all that runs on one executor, as its scheduler reckons it: the executor's clock, and the latest moment
-to which the lease has been renewed.
+The lease of all runs on one executor, as the scheduler tracks it: the executor's clock, and the latest time until
+which the executor may still consider the lease valid.
 */
 import {clockSlackMs, leaseMs} from './timing.js';
 
 export type ExecutorLease = {
-	/** Takes the executor's clock, read now. */
+	/** Records what the executor's clock showed at `now` of this host's clock. */
 	setClock: (clockMs: number, now: number) => void;
 	/**
-	Extends the lease, no further than `cap` on this host's clock. Gives its new end on the executor's clock; undefined:
-	it can't be extended, as the cap has passed or the executor's clock is not known yet.
+	Extends the lease, but not beyond `cap` (this host's clock). Returns its new end on the executor's clock;
+	undefined if it can't be extended, because the cap has passed or the executor's clock is not known yet.
 	*/
 	extend: (cap: number, now: number) => number | undefined;
 	/**
-	Runs were found there that this scheduler did not start: an earlier holder may have renewed the lease until a moment
-	ago. Without this, runs of an executor that goes silent right after its first report would count as over at once.
+	Assumes that the lease was renewed just now. To be called when runs are found that this scheduler did not start: an
+	earlier holder may have renewed the lease until a moment ago. Otherwise, if the executor went silent right after its
+	first report, its runs would at once count as over.
 	*/
 	assumeRenewed: (now: number) => void;
-	/** Everything there has ended for certain, also by the slowest clock. */
+	/** All runs on the executor are certain to have ended, even if its clock is the slowest allowed. */
 	hasPassed: (now: number) => boolean;
 };
 
@@ -29,7 +30,7 @@
 */
 export function createExecutorLease(): ExecutorLease {
 	let clock: {clockMs: number; readAt: number} | undefined;
-	/** At latest then everything there has ended, unless renewed; this host's clock. */
+	/** Unless the lease is renewed, all runs have ended by then; this host's clock. */
 	let endsAt = 0;
 	return {
 		setClock(clockMs, now) {
--- a/packages/scheduling/src/executor-session.ts
+++ b/packages/scheduling/src/executor-session.ts
@@ -1,9 +1,10 @@
 /**
-One executor, driven by the scheduler that holds its group: starts and stops, the renewal of its
-lease, and the ends of its runs. There is one reader of an executor's ends, this one.
+The session of a scheduler with one executor of its group: sends starts and stops, renews the lease, and reads the
+ends of runs. Nothing else in the process reads an executor's ends.
 
-An executor that answers nothing is silent: it gets nothing new, its lease is no longer renewed, and
-when that has passed its runs are over for certain. What it reports is entered whole (`run-book.ts`) before anybody is told.
+An executor that does not answer is silent: it gets no new starts and its lease is no longer renewed. Once the lease has
+passed, its runs are certain to be over. Each report is entered as a whole (`run-book.ts`) before any callback is
+called.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
 import {
@@ -35,10 +36,13 @@
 } from './timing.js';
 import {type UnsettledOrders} from './unsettled-orders.js';
 
-/** A start under a shorter lease than this comes to nothing, or comes late. */
+/** A start under a shorter lease than this would be lost, as the lease expires first, or be carried out too late. */
 const leastLeaseMs = 150;
 
-/** After the executor declined, or said that it has no room, it gets nothing for this long; in the latter case until its room changes, if that is sooner. */
+/**
+After a start was refused or could not be delivered, the executor gets none for this long. After a refusal for lack of
+room the pause ends early if its room changes.
+*/
 const declinedRestMs = 150;
 
 export type SessionPorts = {
@@ -46,33 +50,37 @@
 	wait: (ms: number, signal: AbortSignal) => Promise<void>;
 	control: ExecutorControl;
 	getToken: () => number;
-	/** The latest moment to which the lease may be renewed, by what runs there. */
+	/** The latest time to which the lease may be renewed, given these runs; this host's clock. */
 	getLeaseCap: (runs: Iterable<Run>) => number;
-	/** Of all executors of the group. */
+	/** Answer times of all executors of the group. */
 	answerTimes: AnswerTimes;
-	/** Starts of an earlier session with this executor among them. */
+	/** Unanswered starts sent to this executor, including those of earlier sessions. */
 	unsettled: UnsettledOrders;
 	onRunEnd: (run: Run, outcome: RunOutcome, session: ExecutorSession) => void;
-	/** The executor crashed while these ran there. */
+	/** The executor crashed while these runs were on it. */
 	onCrash: (executor: string, runs: readonly Run[]) => void;
-	/** The executor is silent, and the lease of these has passed. */
+	/** The executor is silent, and the lease of these runs has passed. */
 	onSilence: (executor: string, runs: readonly Run[]) => void;
-	/** The executor answers in the life that was thought over, or its end was planned. */
+	/** The executor has not crashed: the same process answers again, or it left while draining. */
 	onCleared: (executor: string) => void;
-	/** The executor has answered, or has more room than before; once for all ends of one report. */
+	/**
+	The executor has become available, is gone, or has other room than before; called once for all ends of one report.
+	*/
 	onChange: () => void;
-	/** Another scheduler has the group. */
+	/** Another scheduler holds the group. */
 	onFenced: () => void;
 	log: (message: string, fields: Record<string, unknown>) => void;
 };
 
 export class ExecutorSession implements Candidate {
 	readonly trust = createTrust();
-	/** The executor has listed what runs there to this scheduler. */
+	/** The executor has reported to this scheduler all that runs on it. */
 	isReported = false;
-	/** No answer since then, or orders of before it are not settled; undefined: it answers. */
+	/**
+	Since when the executor does not answer, or has unanswered starts still to be cancelled; undefined: neither holds.
+	*/
 	silentSince: number | undefined;
-	/** This life of the executor is over. */
+	/** This process of the executor has ended. */
 	isGone = false;
 	#executor: Executor;
 	readonly #book = createRunBook();
@@ -80,14 +88,14 @@
 	readonly #orders: RunOrders;
 	readonly #crashes: CrashWatch;
 	#isListed = true;
-	/** Renewals in a row without an answer. */
+	/** Number of renewals in a row without an answer. */
 	#missed = 0;
-	/** The executor's clock in the newest report: an older one that comes later tells nothing. */
+	/** The executor's clock in its newest report. An older report that arrives after it is ignored. */
 	#reportedClockMs = -Infinity;
 	readonly #closing = new AbortController();
-	/** It has refused a start for want of room: until then nothing is known to be free. */
+	/** Until then no room counts as free: the executor has refused a start for lack of room. */
 	#fullUntil = -Infinity;
-	/** A pause between renewals; undefined: there is none. */
+	/** The pause between two renewals; undefined: no pause is going on. */
 	#idle: {end: () => void} | undefined;
 
 	constructor(
@@ -118,7 +126,9 @@
 		return this.#book.runs;
 	}
 
-	/** It has runs, or ends of runs, that an earlier holder may have started. */
+	/**
+	There are runs, or ends of runs, that an earlier holder of the group may have started and no entry has claimed.
+	*/
 	get hasUnclaimed(): boolean {
 		return this.#book.hasUnclaimed;
 	}
@@ -139,14 +149,14 @@
 		return this.#executor.isDraining;
 	}
 
-	/** May be less than nothing, where capacity has shrunk below what runs. */
+	/** Free capacity. Negative if the capacity has shrunk below what the runs use. */
 	get free(): TaskDemand {
 		return this.ports.now() < this.#fullUntil || this.#hasUnknownRuns()
 			? noRoom
 			: removeDemand(this.#executor.capacity, this.#book.used);
 	}
 
-	/** How long ago this host first read the capacity that it goes by, milliseconds. */
+	/** How long ago this host first read the current capacity, milliseconds. */
 	get capacityAgeMs(): number {
 		return this.ports.now() - this.#executor.saidAt;
 	}
@@ -161,7 +171,10 @@
 		);
 	}
 
-	/** The lease can be extended: no run here has outlived its claim, or the time in which it has to be stopped. */
+	/**
+	The lease can be extended far enough for a start: no run here is past the end of its claim, or the time by which
+	it has to stop.
+	*/
 	get isExtendable(): boolean {
 		return (
 			this.ports.getLeaseCap(this.runs.values()) >
@@ -187,7 +200,7 @@
 		this.#isListed = true;
 	}
 
-	/** Begins to follow the executor; returns at once. */
+	/** Starts to renew the lease in the background; returns at once. */
 	open(): void {
 		this.silentSince = this.ports.unsettled.isEmpty
 			? undefined
@@ -195,9 +208,11 @@
 		void this.#repeatRenewals();
 	}
 
-	/** Nothing more is sent. What runs there ends with its lease, or is the next holder's. */
+	/**
+	Ends the session; no more calls are made. Runs go on until their lease ends, or the next holder takes them over.
+	*/
 	close(): void {
-		// The next holder may find neither the executor nor what ran there.
+		// The next holder may never see this executor or its runs, so possible crashes are recorded now.
 		if (this.silentSince !== undefined && !this.isGone) {
 			this.#crashes.noteLapsed([...this.runs.values()]);
 		}
@@ -206,7 +221,7 @@
 		this.ports.control.forgetExecutor(this.#executor);
 	}
 
-	/** Sends a start; the run's end comes by `onRunEnd`. */
+	/** Sends a start; the end of the run is reported by `onRunEnd`. */
 	start(
 		name: RunName,
 		{
@@ -228,13 +243,16 @@
 		this.#idle?.end();
 	}
 
-	/** Stops a run that is no longer wanted; its room is free when its end is listed. `stopBy`: when it has to be over. */
+	/**
+	Stops a run; its room becomes free when the executor reports its end. `stopBy`: when the run has to be over; this
+	host's clock.
+	*/
 	stop(run: Run, stopBy: number): void {
 		this.#orders.stop(run, stopBy);
 		this.#idle?.end();
 	}
 
-	/** The store no longer lists the executor: it counts as gone, so what runs there is stopped. */
+	/** To be called when the store no longer lists the executor: it counts as gone, so its runs are stopped. */
 	stopAll(): void {
 		this.#isListed = false;
 		if (this.silentSince !== undefined) {
@@ -247,7 +265,10 @@
 		}
 	}
 
-	/** A run of this task that an earlier holder started; from now on it is the caller's. */
+	/**
+	Claims the run of this task that an earlier holder started; from now on the run belongs to the job. Undefined:
+	there is none.
+	*/
 	claimRun(task: RunName, demand: TaskDemand): Run | undefined {
 		const run = this.runs.get(formatTaskKey(task));
 		if (!run?.isFound || run.state === 'stopping') {
@@ -260,7 +281,7 @@
 		return run;
 	}
 
-	/** The end of a run that nobody had claimed when it was listed. */
+	/** Hands out, once, the end of a run of this task that no entry had claimed when the executor reported it. */
 	takeStrayEnd(task: {job: string; index: number}): RunEnd | undefined {
 		return this.#book.takeStrayEnd(task);
 	}
@@ -307,7 +328,7 @@
 		}
 	}
 
-	/** Until the time is over, there is something to do, or the session is closed. */
+	/** Waits until the time is over, a start or stop is sent, or the session is closed. */
 	async #waitIdle(ms: number): Promise<void> {
 		await new Promise<void>((resolve) => {
 			this.#idle = {end: resolve};
@@ -315,7 +336,9 @@
 		});
 	}
 
-	/** One renewal, which also brings the ends; gives the pause until the next, milliseconds. */
+	/**
+	Renews the lease once, and handles the ends in the reply; returns the pause until the next renewal, milliseconds.
+	*/
 	async #renew(): Promise<number> {
 		const {control, now} = this.ports;
 		const sentAt = now();
@@ -339,7 +362,10 @@
 		return this.runs.size > 0 || reply.value.hasMoreEnds ? 0 : idleLookMs;
 	}
 
-	/** What the executor lists now, beside the renewal that waits there: a task waits for it. */
+	/**
+	Asks for a report at once, while a renewal may still wait at the executor: a task is held up until the end is
+	known.
+	*/
 	async #look(): Promise<void> {
 		const {control, now} = this.ports;
 		const sentAt = now();
@@ -358,7 +384,10 @@
 		};
 	}
 
-	/** Until the next end is expected: a lost answer is noticed right after, not at the end of a long wait. */
+	/**
+	How long a renewal waits: until the next end is expected, so that a lost answer is noticed right after that;
+	milliseconds.
+	*/
 	#computeWait(now: number): number {
 		let nextMs = renewWaitMs;
 		for (const {startedAt, estimateMs} of this.runs.values()) {
@@ -371,7 +400,7 @@
 		return Math.ceil(Math.max(leastRenewWaitMs, nextMs));
 	}
 
-	/** One lost answer is asked for again at once; gives the pause until then, milliseconds. */
+	/** A first lost answer is asked for again at once; returns the pause until the next renewal, milliseconds. */
 	#receiveMissed(failure: CallFailure): number {
 		this.#missed += 1;
 		const isFirst = this.#missed === 1 && failure.code === 'unanswered';
@@ -383,13 +412,13 @@
 		return retryMs;
 	}
 
-	/** Extends the lease by what its runs allow; the new end on the executor's clock. */
+	/** Extends the lease as far as its runs allow; returns its new end on the executor's clock. */
 	#extendLease(): number | undefined {
 		const cap = this.ports.getLeaseCap(this.runs.values());
 		return this.#lease.extend(cap, this.ports.now());
 	}
 
-	/** The book has the whole report before others act on any of it. */
+	/** Enters the whole report in the book before any callback acts on a part of it. */
 	#receiveReport(report: LeaseReply, sentAt: number): void {
 		if (report.clockMs < this.#reportedClockMs) {
 			return;
@@ -434,10 +463,10 @@
 		}
 	}
 
-	/** A run that shows up after the executor's first report is a start carried out late. */
+	/** Stops runs that appear after the executor's first report: each is a start that was carried out late. */
 	#stopLateStarts(found: readonly Run[], now: number): void {
 		for (const run of found) {
-			this.ports.log('stopping a run that nobody wants', {
+			this.ports.log('stopping a run whose start was carried out late', {
 				executor: this.id,
 				job: run.job,
 				task: run.index,
@@ -448,8 +477,8 @@
 	}
 
 	/**
-	It answers again. Orders of before may still be carried out: they are made worthless first,
-	and only then may the lease be renewed.
+	To be called when a silent executor answers again. Starts sent before may still be carried out, so they are
+	cancelled first; only then is the lease renewed again.
 	*/
 	async #endSilence(): Promise<void> {
 		const {control, getToken, answerTimes, log, onChange, unsettled} =
@@ -471,12 +500,15 @@
 		}
 	}
 
-	/** A run of unknown size takes half of the executor: two tasks is what most executors hold. */
+	/** The demand assumed for a run of unknown size: half the processor, as most executors hold two tasks. */
 	#estimateDemand(): TaskDemand {
 		return {...noDemand, cpu: Math.floor(this.capacity.cpu / 2)};
 	}
 
-	/** What runs there may need more than it is taken for, and the executor would not refuse a start for that. */
+	/**
+	There are runs that may need more than estimated, and the executor would not refuse a start that exceeds its
+	capacity.
+	*/
 	#hasUnknownRuns(): boolean {
 		return (
 			!this.#executor.isGuarded &&
@@ -521,7 +553,7 @@
 			}
 
 			default: {
-				this.ports.log('executor declined', {
+				this.ports.log('executor refused a call', {
 					executor: this.id,
 					call,
 					code: failure.code,
@@ -531,7 +563,7 @@
 		}
 	}
 
-	/** Only renewals judge: a lost order among answered renewals does not make it silent. */
+	/** Only a failed renewal makes the executor silent: a start or stop may be lost while renewals are answered. */
 	#noteSilence({code, message}: CallFailure, call: string): void {
 		if (call === 'renewal' && this.silentSince === undefined) {
 			this.silentSince = this.ports.now();
@@ -544,7 +576,7 @@
 		}
 	}
 
-	/** What ran there is over for certain. */
+	/** Marks the executor as gone: all its runs are certain to be over. */
 	#endLife(reason: string): void {
 		this.isGone = true;
 		this.ports.log('executor is gone', {
@@ -589,7 +621,7 @@
 		this.#lease.setClock(clockMs, this.ports.now());
 	}
 
-	/** Gives the runs that the book had. */
+	/** Removes all runs and reports them as lost; returns them. Starts without an answer are kept, to be cancelled. */
 	#abandonRuns(): Run[] {
 		const lost = [...this.runs.values()];
 		for (const run of lost) {
--- a/packages/scheduling/src/executor-set.ts
+++ b/packages/scheduling/src/executor-set.ts
@@ -1,6 +1,6 @@
 /**
-The executors of a group as their scheduler follows them: one session each, opened when the store lists the executor
-and closed when it is no longer listed and nothing runs there.
+The executors of a group, each with one session. A session is opened when the store lists the executor, and closed
+when the executor is no longer listed and nothing runs there.
 */
 import {createAnswerTimes} from './answer-times.js';
 import {ExecutorSession, type SessionPorts} from './executor-session.js';
@@ -13,20 +13,23 @@
 
 export type ExecutorSet = {
 	readonly sessions: ReadonlyMap<string, ExecutorSession>;
-	/** The group's executors as the store lists them now. */
+	/**
+	Takes the group's executors as the store lists them now: opens sessions for new ones, stops all runs on unlisted
+	ones.
+	*/
 	setListed: (executors: readonly Executor[]) => void;
-	/** Those that may be sent a start now. */
+	/** Sessions of listed executors that may be sent a start now. */
 	listOpen: () => ExecutorSession[];
-	/** Every executor has said what runs there. */
+	/** Every executor has reported what runs there or is gone, and there is at least one. */
 	isReported: () => boolean;
-	/** A run of the task on any of them, also one that is being stopped. */
+	/** A run of the task on any of the executors, including one that is being stopped. */
 	findRun: (task: {
 		job: string;
 		index: number;
 	}) => {run: Run; session: ExecutorSession} | undefined;
-	/** A task of the job runs on any of them, also one that is being stopped. */
+	/** Whether a task of the job runs on any of the executors; a run that is being stopped counts. */
 	hasRunOf: (job: string) => boolean;
-	/** Closes the sessions that are over; to be called from time to time. */
+	/** Closes the sessions of unlisted executors without runs; to be called periodically. */
 	closeUnlisted: (now: number) => void;
 	closeAll: () => void;
 };
@@ -36,7 +39,7 @@
 ): ExecutorSet {
 	const sessions = new Map<string, ExecutorSession>();
 	const answerTimes = createAnswerTimes();
-	/** By executor, also of those whose session is closed. */
+	/** By executor id, including executors whose session is closed. */
 	const unsettledOrders = new Map<string, UnsettledOrders>();
 	let listed: ReadonlySet<string> = new Set();
 
@@ -75,7 +78,8 @@
 				}
 			}
 
-			// The next holder would not know of them: what runs there could be started a second time.
+			// The next holder would not learn of an unlisted executor, and could start the tasks that run there a
+			// second time.
 			for (const [id, session] of sessions) {
 				if (!listed.has(id)) {
 					session.stopAll();
--- a/packages/scheduling/src/executor-trust.ts
+++ b/packages/scheduling/src/executor-trust.ts
@@ -1,36 +1,36 @@
 /**
-How far an executor is trusted, from how its tasks end: what it fails, lets stand still or slows
-down costs jobs, however good its own word is.
+How far an executor is trusted, judged by how its runs end. An executor may report itself healthy and still fail
+tasks, hang or be slow, which makes jobs fail or come late.
 
-- After `doubtFailures` failures or overdue runs in a row it is doubted: one task at a time, and only
-  when no other executor has room.
-- After each further failure it rests, longer each time. A task that fails there uses up one of
-  few attempts, and an executor that fails at once has room all the time.
-- One good end at a usual speed clears it.
+- After `doubtFailures` failures or overdue runs in a row the executor is doubted: it gets one task at a time, and only
+  when no other executor has free capacity.
+- After each further failure it gets no task for a while, longer each time. A failing run uses up one of the
+  task's few attempts, and an executor that fails its runs at once always has free capacity, so it would attract tasks.
+- One successful run at the usual speed ends the doubt.
 */
 
-/** Failures, or overdue runs, in a row after which an executor is doubted: single ones are the tasks' own. */
+/** Failures, or overdue runs, in a row after which an executor is doubted: single ones are put down to the task. */
 export const doubtFailures = 2;
-/** First rest after a failure in doubt; doubled with each. */
+/** First pause after a failure of a doubted executor; doubled with each further failure. */
 const restMs = 400;
-/** Longest rest: a fault of a few seconds is over by then, and it is tried again. */
+/** Longest pause: after it, an executor whose fault lasted a few seconds is tried again. */
 const restCapMs = 3200;
-/** An executor that takes more than this many times as long as the others counts as slow. */
+/** An executor whose runs take more than this many times the expected time counts as slow. */
 export const slowFactor = 1.7;
-/** Weight of one more run in the slowness. */
+/** Weight of a new run in the moving average of the slowness. */
 const slownessWeight = 0.35;
-/** While it gets nothing to do, half of an executor's slowness is forgotten in this time. */
+/** While no run ends on an executor, its measured slowness decays towards 1 with this half-life. */
 const slownessHalfLifeMs = 2500;
 
 export type ExecutorTrust = {
 	failuresInRow: number;
-	/** Runs now overdue, or moved away as overdue since the last good end. */
+	/** Runs that became overdue, including those moved elsewhere, since the last success at the usual speed. */
 	overdue: number;
-	/** Run times there against those expected; 1: as fast as the others. */
+	/** Moving average of actual by expected run time; 1: as fast as expected. */
 	slowness: number;
-	/** No start before this time. */
+	/** The executor gets no start before this time; this host's clock. */
 	restsUntil: number;
-	/** When slowness was last learned. */
+	/** When `slowness` was last updated; this host's clock. */
 	learnedAt: number;
 };
 
@@ -48,7 +48,7 @@
 	return failuresInRow >= doubtFailures || overdue >= doubtFailures;
 }
 
-/** Slowness now: what was learned some time ago counts less. */
+/** The slowness at `now`, decayed since it was last updated. */
 export function computeSlowness(
 	{slowness, learnedAt}: ExecutorTrust,
 	now: number,
@@ -76,13 +76,13 @@
 	trust.restsUntil = computeRest(trust.failuresInRow, trust.restsUntil, now);
 }
 
-/** A run there is overdue. */
+/** To be called once for each run that becomes overdue. */
 export function recordOverdue(trust: ExecutorTrust, now: number): void {
 	trust.overdue += 1;
 	trust.restsUntil = computeRest(trust.overdue, trust.restsUntil, now);
 }
 
-/** The end of the rest after so many bad ends in a row. */
+/** When the pause ends after `inRow` failures or overdue runs in a row. */
 function computeRest(inRow: number, restsUntil: number, now: number): number {
 	const beyond = inRow - doubtFailures;
 	return beyond < 0
--- a/packages/scheduling/src/executor.ts
+++ b/packages/scheduling/src/executor.ts
@@ -1,33 +1,36 @@
 /**
-An executor that runs tasks under a lease, as the scheduler of its group knows it.
+An executor, which runs tasks under a lease, as the scheduler of its group knows it.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
 
 export type Executor = {
-	/** One life of the executor's process: a restart brings another id. */
+	/** Identifies one process of the executor: after a restart the id is another. */
 	id: string;
 	/** `ip:port`. */
 	address: string;
 	dataCentre: string;
 	service: string;
-	/** A draining executor ends what runs there and gets nothing new. */
+	/** A draining executor finishes its runs and gets no new ones. */
 	isDraining: boolean;
-	/** It refuses what its capacity doesn't hold; one that doesn't starts whatever it is told to. */
+	/**
+	Whether the executor refuses a start that exceeds its capacity. If not, it starts every task it is sent, even
+	beyond it.
+	*/
 	isGuarded: boolean;
 	capacity: TaskDemand;
-	/** When this host first read that capacity as the executor's newest word; this host's clock. */
+	/** When this host first read this capacity from the executor's newest registration; this host's clock. */
 	saidAt: number;
 };
 
-/** What an executor says of itself, as one list of the store has it. */
+/** What an executor has registered about itself, as read from the store. */
 export type ExecutorWord = Omit<
 	Executor,
 	'capacity' | 'isGuarded' | 'saidAt'
 > & {
-	/** Undefined: what it says can't be used. */
+	/** Undefined: the registered capacity is not usable. */
 	capacity: TaskDemand | undefined;
-	/** The executor's own number of the word. */
+	/** Number that the executor gave to this registration; a later one has a higher number. */
 	sequence?: number;
-	/** The store's number of the change that wrote it. */
+	/** The store's revision of the change that wrote this registration. */
 	revision?: number;
 };
--- a/packages/scheduling/src/fake-executors.fixture.ts
+++ b/packages/scheduling/src/fake-executors.fixture.ts
@@ -1,5 +1,5 @@
 /**
-Executors under leases for tests of the scheduler: no sockets, on a virtual clock.
+Fake executors with leases for tests of the scheduler, on a virtual clock and without sockets.
 */
 import {err, ok, ResultAsync, type Result} from 'neverthrow';
 import {type TaskDemand} from '@gentianshift/protocol';
@@ -21,39 +21,42 @@
 	executor: string;
 	token: number;
 	startedAt: number;
-	/** What the executor had in use right after the start. */
+	/** What all runs on the executor used together right after this start. */
 	used: TaskDemand;
 	endedAt?: number;
 	outcome?: RunEnd['outcome'];
-	/** Its executor crashed while it ran. */
+	/** The executor crashed during the run. */
 	isCrashed?: boolean;
 };
 
 export type FakeExecutor = {
 	executor: Executor;
-	/** Its capacity over time, as it said it. */
+	/** The capacities that the executor has reported, oldest first. */
 	said: Array<{at: number; capacity: TaskDemand}>;
 	token: number;
 	leaseEndsAt: number;
 	active: FakeRun[];
 	ended: RunEnd[];
 	sequence: number;
-	/** Callers, by token, that get no answer and whose orders are lost; or all. */
+	/** Tokens of schedulers whose calls are lost without an answer; or all of them. */
 	cutFrom: Set<number> | 'all';
-	/** Tasks take this many times as long; `Infinity`: they stand still. */
+	/** Tasks take this many times as long; `Infinity`: they never end. */
 	slowness: number;
-	/** Tasks fail at once. */
+	/** Tasks fail after 1 ms. */
 	isFailing: boolean;
-	/** The next starts get no answer and are carried out this much later. */
+	/** If above 0, starts get no answer and are carried out after this delay. */
 	lateStartMs: number;
 	highest: Map<string, number>;
-	/** Counts its crashes. */
+	/** Number of the current process: 1, plus the number of crashes. */
 	life: number;
-	/** Crashed, and not back yet. */
+	/** Crashed and not restarted yet. */
 	isDown: boolean;
 };
 
-/** What becomes of a call: `lost` on its way there, only its answer lost, or carried out so much later without one. */
+/**
+What happens to a call: `lost` before it arrives; `answer-lost`: carried out, but the answer is lost; `late`: carried
+out `ms` later, without an answer.
+*/
 export type CallFate =
 	| {type: 'answered'}
 	| {type: 'lost'}
@@ -85,23 +88,23 @@
 	}: {
 		count: number;
 		cpu?: number;
-		/** How long tasks take, all or each. */
+		/** Run time of all tasks, or a function that gives each task's. */
 		taskMs?: number | ((task: {job: string; index: number}) => number);
-		/** Beside what `cutFrom` and `lateStartMs` say. */
+		/** Decides what happens to calls that `cutFrom` and `lateStartMs` do not affect. */
 		decideFate?: (call: FakeCall) => CallFate;
-		/** An executor that is asked to wait for an end looks this often. */
+		/** How often an executor that waits for the end of a run checks for one. */
 		lookMs?: number;
-		/** A stop is answered at once, and the run is over this much later. */
+		/** A stop is answered at once, and the run ends this much later. */
 		stopMs?: number;
-		/** What each task takes of its executor; without it all have room for all. */
+		/** What each task of a job uses; the default is nothing, so that any number of tasks fits. */
 		getDemand?: (job: string) => TaskDemand;
-		/** They refuse what they have no room for. */
+		/** Whether the executors refuse starts that exceed their capacity. */
 		isGuarded?: boolean;
 		/** How long after its start a task crashes its executor; undefined: it does not. */
 		findCrashMs?: (task: {job: string; index: number}) => number | undefined;
-		/** How long until a crashed executor is back, under a new id. */
+		/** How long until a crashed executor has restarted, under a new id. */
 		getBackMs?: () => number;
-		/** An executor has crashed; `next` is its next life, not listed yet. */
+		/** An executor has crashed; `next` is the executor after its restart, not listed yet. */
 		onCrash?: (former: Executor, next: Executor) => void;
 	},
 ) {
@@ -137,12 +140,12 @@
 		isDown: false,
 	}));
 
-	/** Whatever lives at the address now. */
+	/** The fake whose address this is; it may have restarted since. */
 	function find({address}: Executor): FakeExecutor {
 		return fakes.find(({executor}) => executor.address === address)!;
 	}
 
-	/** What answers a call to a life of the executor that is over. */
+	/** The failure of a call to an executor process that has ended; undefined: the process is still the same. */
 	function refuseFormer(
 		{executor, isDown}: FakeExecutor,
 		{id}: Executor,
@@ -186,7 +189,7 @@
 		});
 	}
 
-	/** It has so much room from now on, and says so. */
+	/** Changes the executor's capacity and reports the new one. */
 	function setCapacity(fake: FakeExecutor, capacity: TaskDemand): Executor {
 		fake.executor = {...fake.executor, capacity, saidAt: clock.now};
 		fake.said.push({at: clock.now, capacity});
@@ -294,7 +297,7 @@
 		return ok({clockMs: clock.now});
 	}
 
-	/** The caller gives up after its own limit, and what the call would have waited for. */
+	/** The caller's time-out passes: its own limit, and the time that the call would have waited. */
 	async function loseAnswer({
 		answerLimitMs,
 		waitMs = 0,
@@ -306,7 +309,7 @@
 		return err({code: 'unanswered', message: 'no answer'});
 	}
 
-	/** Carries a call out as its fate says, if the executor still lives as the one that was called. */
+	/** Carries out a call as `decideFate` says, unless the executor process that was called has ended. */
 	async function carryOut<T>(
 		call: FakeCall & {to: Executor},
 		limits: {answerLimitMs: number; waitMs?: number},
@@ -474,14 +477,14 @@
 		renewLease: (executor, request) =>
 			new ResultAsync(renew(executor, request)),
 		forgetExecutor() {
-			// Nothing is kept open.
+			// The fake keeps no connections.
 		},
 	};
 
 	return {
 		control,
 		crash,
-		/** All runs that executors have begun. */
+		/** All runs that were started, on all executors. */
 		runs,
 		fakes,
 		executors: fakes.map(({executor}) => executor),
@@ -496,7 +499,7 @@
 	return err({code, message: code, clockMs});
 }
 
-/** How often each task was started after so many executors had crashed while it ran. */
+/** Counts each task's starts that came after `crashes` of its runs had ended in a crash of the executor. */
 export function countStartsAfterCrashes(
 	runs: readonly FakeRun[],
 	crashes: number,
@@ -516,7 +519,7 @@
 	return starts;
 }
 
-/** Pairs of runs of one task that overlap. */
+/** Describes each pair of runs of one task that overlap in time. */
 export function findOverlaps(runs: readonly FakeRun[]): string[] {
 	return runs.flatMap((run, i) =>
 		runs
@@ -534,13 +537,16 @@
 	);
 }
 
-/** Starts that brought an executor which doesn't guard its capacity over all that it said within so many milliseconds before. */
+/**
+Describes each start that brought an executor above all capacities that were in force at any time within `graceMs`
+before the start. Only executors that do not refuse such starts themselves are checked.
+*/
 export function findOverfull(
 	{runs, fakes}: Pick<FakeExecutors, 'runs' | 'fakes'>,
 	graceMs: number,
 ): string[] {
 	return runs.flatMap(({job, index, executor, startedAt, used}) => {
-		// Lives of an executor differ in what follows the dot; its room is the same.
+		// Ids of one executor before and after a restart differ only behind the dot; its capacity stays the same.
 		const [machine] = executor.split('.', 1);
 		const fake = fakes.find(
 			(one) => one.executor.id.split('.', 1)[0] === machine,
--- a/packages/scheduling/src/fencing-token.ts
+++ b/packages/scheduling/src/fencing-token.ts
@@ -1,28 +1,29 @@
 /**
-Fencing tokens of a group's holders. Executors obey the highest they have seen, so a new holder's
-must be above all earlier ones, and no two holders may have the same: ends that one of them
-acknowledged would be hidden from the other.
+Fencing tokens of a group's holders. Executors obey the highest token they have seen, so a new holder's token must be
+above all earlier ones. No two holders may have the same token: an executor discards ends that one of them has
+acknowledged, and the other would never see them.
 
-The store's revision of the holder's key gives the high part: it rises with every change. A host
-that takes over while the store is down stays within the low part, above the last token it knows: the next takeover, in a slot
-of its own. Two hosts that can't reach each other may both take over, each above what it has heard; only the slot tells their tokens apart.
+A token has three parts, from high to low: the store's revision of the holder's key, which rises with every change; the
+number of the takeover without the store since then; and the slot of the host. A host that takes over while the store is
+down raises the middle part above the last token it knows. Two hosts that can't reach each other may both do so; then
+only the slots keep their tokens apart.
 */
 import {createHash} from 'node:crypto';
 
 const slots = 4096;
-/** Takeovers without the store between two of its revisions. */
+/** How many takeovers without the store fit between two of its revisions. */
 const takeoversPerRevision = 64;
 
 export function makeStoreToken(revision: number): number {
 	return revision * takeoversPerRevision * slots;
 }
 
-/** The same for a host whenever it is asked, whoever else lives. */
+/** The slot of a host: always the same for the same name, independent of which other hosts are alive. */
 export function computeSlot(host: string): number {
 	return createHash('sha256').update(host).digest().readUInt32BE(0) % slots;
 }
 
-/** Above the last token, and unlike that of any host with another slot. */
+/** A token above `lastToken` that differs from those of all hosts with another slot. */
 export function makeStorelessToken(lastToken: number, slot: number): number {
 	return (Math.floor(lastToken / slots) + 1) * slots + slot;
 }
--- a/packages/scheduling/src/index.fixture.ts
+++ b/packages/scheduling/src/index.fixture.ts
@@ -1,5 +1,5 @@
 /**
-What tests of other packages use of this one's tests.
+Fixtures of this package that tests of other packages use.
 */
 export * from './fake-executors.fixture.js';
 export * from './virtual-clock.fixture.js';
--- a/packages/scheduling/src/lease-cap.ts
+++ b/packages/scheduling/src/lease-cap.ts
@@ -1,15 +1,18 @@
 /**
-How far the lease of an executor may be renewed, by what runs there.
+How far the lease of an executor may be renewed, given the runs on it.
 
-A lease covers everything on its executor, so it goes no further than the run whose time is up first. Each run has
-such a time, also one that nobody has claimed yet and one whose stop has no answer: without it a stop that is lost
-again and again leaves a task running under leases that are renewed for its neighbours, while its caller has come
-again elsewhere.
+A lease covers all runs on an executor, so it must not go beyond the earliest time by which one of them has to end.
+Every run has such a time, including a run that no entry has claimed yet and a run whose stop is not answered.
+Otherwise, if the stop is lost repeatedly, the run would go on under leases renewed for other runs, while its caller
+has resubmitted the job elsewhere.
 */
 import {type Run} from './run.js';
 import {claimLimitMs, stopLimitMs} from './timing.js';
 
-/** `getClaimLimit`: until when the job's claim allows runs; `Infinity`: the job is not known. */
+/**
+Returns a time on this host's clock. `getClaimLimit`: until when the claim on the job allows runs; `Infinity`: the job
+is not known.
+*/
 export function computeLeaseCap(
 	runs: Iterable<Run>,
 	getClaimLimit: (job: string) => number,
--- a/packages/scheduling/src/load-system.fixture.ts
+++ b/packages/scheduling/src/load-system.fixture.ts
@@ -1,6 +1,6 @@
 /**
-Three data centres under a seeded load, on a virtual clock: entries, schedulers and fake executors, joined
-by messages that take a millisecond. What counts is what callers get, and when.
+Three data centres under a seeded load, on a virtual clock: entries, schedulers and fake executors, connected
+by messages that take one millisecond. Tests look at the answers that callers get, and when.
 */
 import {type Draw} from '@gentianshift/standins';
 import {type GroupState} from '@gentianshift/protocol';
@@ -20,9 +20,9 @@
 const dataCentres = ['mieres', 'langreo', 'tineo'] as const;
 export type DataCentre = (typeof dataCentres)[number];
 
-/** One way between hosts. */
+/** Delay of a message between hosts, one way. */
 const linkMs = 1;
-/** One way between a caller and its entry. */
+/** Delay between a caller and its entry, one way. */
 const callerMs = 3;
 const updateEveryMs = 50;
 const queueDefaults = {
@@ -37,13 +37,13 @@
 	queue: string;
 	service: string;
 	priority: number;
-	/** Jobs a second over all data centres at load 1. */
+	/** Jobs per second in all data centres together, at load 1. */
 	perSecond: number;
 	meanTasks: number;
 	medianRunMs: number;
 };
 
-/** The mix of the users' three kinds of requests. */
+/** A usual mix of the users' three kinds of requests. */
 export const usualKinds: readonly JobKind[] = [
 	{
 		queue: 'menu',
@@ -86,7 +86,7 @@
 	at: number;
 	answer: JobAnswer['type'];
 	tookMs: number;
-	/** The latency objective by the true longest task. */
+	/** The latency objective, computed from the actual run time of the longest task. */
 	objectiveMs: number;
 };
 
@@ -94,17 +94,20 @@
 	draw: Draw;
 	kinds?: readonly JobKind[];
 	spanMs: number;
-	/** The rate at a moment, as a factor of the kinds' own. */
+	/** The load at a time, as a factor of each kind's `perSecond`. */
 	getLoad: (at: number) => number;
-	/** Where a caller comes from; each data centre alike if not given. */
+	/** Draws the data centre of a caller; if absent, all are equally likely. */
 	drawFrom?: () => DataCentre;
 };
 
-/** Run times differ from job to job by 40%, those of one job's tasks by 15%; callers' words by half. */
+/**
+Log-normal spread: of a job's number of tasks, of run times between jobs (40%) and between tasks of one job (15%), and
+of callers' estimates (half).
+*/
 const sigmas = {size: 0.6, job: 0.35, task: 0.15, word: 0.4};
 const mostTasks = 32;
 
-/** Jobs that arrive at random moments. */
+/** Draws jobs that arrive at random times, in the order of arrival. */
 export function planJobs({
 	draw,
 	kinds = usualKinds,
@@ -151,7 +154,10 @@
 
 export type LoadSystem = ReturnType<typeof createLoadSystem>;
 
-/** Executors of the services by turns; each third takes three tasks of the usual size, the others two. */
+/**
+Executors are assigned to the services in turn. Every third one has room for three tasks of the usual size, the others
+for two.
+*/
 export function createLoadSystem({
 	executorsEach = 11,
 	services = ['meals'],
@@ -228,7 +234,7 @@
 	return {name, directory, runTimes, crashes, executors, scheduler};
 }
 
-/** The entry on the host that schedules its data centre's group. */
+/** Creates the entry on the host that schedules the group of its data centre, and connects it to all schedulers. */
 function joinEntry(
 	clock: VirtualClock,
 	home: Group,
@@ -272,7 +278,9 @@
 	return entry;
 }
 
-/** Plays the jobs, and as long after the last as any may take; gives what each caller got. */
+/**
+Submits the jobs and runs until all are answered, or the last one's time-out has passed; returns what each caller got.
+*/
 export async function playJobs(
 	system: LoadSystem,
 	jobs: readonly PlannedJob[],
@@ -377,5 +385,5 @@
 }
 
 function doNothing(): void {
-	// Not of interest to these tests.
+	// Not needed by these tests.
 }
--- a/packages/scheduling/src/load.test.ts
+++ b/packages/scheduling/src/load.test.ts
@@ -1,5 +1,5 @@
 /**
-What callers get from three data centres under load, on a virtual clock. All seeds are fixed.
+The answers that callers get from three data centres under load, on a virtual clock. All seeds are fixed.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -66,7 +66,7 @@
 	}
 });
 
-// Work comes close to what the executors can do, and short wide jobs wait for long ones.
+// The load is close to the capacity of the executors, and short jobs with many tasks wait for long ones.
 test('at 90% of the capacity few jobs are late', async () => {
 	const outcomes = await playLoad(createDraw(2), {getLoad: () => 1.2});
 	assertAtLeast(computeShare(outcomes, isInTime), 0.92, 'all');
@@ -77,24 +77,24 @@
 	);
 });
 
-// For a second and a half three times as many callers come as usual. Who is refused is told at once and can come
-// again; those that are let in are served in time, and right after the burst all are.
-test('of a burst the executors serve what they can, and the rest is told at once', async () => {
+// For a second and a half the load is three times the usual. Refused callers are answered at once, so that they can
+// submit again; admitted jobs end in time, and right after the burst nearly all jobs do.
+test('in a burst the executors serve what they can, and the rest is refused at once', async () => {
 	const outcomes = await playLoad(createDraw(3), {
 		getLoad: (at) => (at > 1000 && at < 2500 ? 3 : 0.7),
 	});
 	const burst = outcomes.filter(({at}) => at > 1000 && at < 2500);
-	assertAtLeast(computeShare(burst, isInTime), 0.4, 'in time of the burst');
+	assertAtLeast(computeShare(burst, isInTime), 0.4, 'in time during the burst');
 	const after = outcomes.filter(({at}) => at > 4000);
-	assertAtLeast(computeShare(after, isInTime), 0.98, 'in time after it');
+	assertAtLeast(computeShare(after, isInTime), 0.98, 'in time after the burst');
 	const refused = outcomes.filter(({answer}) => answer === 'refused');
 	const soon = computeShare(refused, ({tookMs}) => tookMs < 50);
 	assertAtLeast(soon, 0.85, 'refused within 50 ms');
 });
 
-// All callers of the dawn come to one data centre, twice what its own executors can do. The others
-// have the room.
-test('callers who all come to one data centre are served by all of them', async () => {
+// Nearly all callers come to one data centre, with twice the work that its own executors can do. The other data centres
+// have room for it.
+test('jobs that nearly all come to one data centre are served by all data centres', async () => {
 	const draw = createDraw(4);
 	const outcomes = await playLoad(draw, {
 		getLoad: () => 0.8,
@@ -104,8 +104,8 @@
 	assert.ok(outcomes.every(({answer}) => answer === 'completed'));
 });
 
-// The executors of one target work at a third of their speed. Its own callers have to suffer; those of
-// the other target must notice nothing.
+// The executors of one target work at a third of their speed. This may slow the callers of that target, but not those
+// of the other one.
 test('a slow target does not slow the callers of another', async () => {
 	const slowness = 3;
 	const [menu, stock, lunch] = usualKinds;
@@ -131,11 +131,15 @@
 		({objectiveMs}) => slowness * (objectiveMs / 1.6) < 4000,
 	);
 	const served = computeShare(possible, ({answer}) => answer === 'completed');
-	assertAtLeast(served, 0.9, 'served of those that can end while waited for');
+	assertAtLeast(
+		served,
+		0.9,
+		'completed, of the jobs that can end within the callers’ time-out',
+	);
 });
 
-// Urgent short jobs come among long ones that fill all executors. Without an order they wait for as long
-// as the long ones run.
+// Urgent short jobs arrive while long ones fill all executors. Without priorities they would wait for as long as the
+// long ones run.
 test('urgent short jobs go before long ones at saturation', async () => {
 	const [menu, stock] = usualKinds;
 	const outcomes = await playLoad(createDraw(6), {
@@ -154,9 +158,9 @@
 	assertAtLeast(computeShare(long, isInTime), 0.4, 'long in time');
 });
 
-// Half as much again comes than can be done, for seconds. What is begun must not be for nothing, and nobody
-// is kept waiting for an answer that will not come.
-test('at one and a half times the capacity most of the work is of use', async () => {
+// For seconds the load is one and a half times the capacity. Work that is started must not be wasted, and no caller
+// should be kept waiting for an answer that will not come.
+test('at one and a half times the capacity most jobs end in time and few end too late to be of use', async () => {
 	const outcomes = await playLoad(createDraw(7), {getLoad: () => 2});
 	assertAtLeast(computeShare(outcomes, isInTime), 0.6, 'in time');
 	const useless = computeShare(
@@ -167,10 +171,10 @@
 	assertAtMost(useless, 0.01, 'answered too late to be of use');
 });
 
-// At saturation each caller who can't be served learns so while coming again is of use, and half of them before the answer was due.
-// Told only when its time is over, a caller has waited for nothing.
+// At saturation nearly all callers that can't be served are told so while it is still useful to submit again, and
+// half of them before their objective has passed. A caller that learns it only at its time-out has waited in vain.
 for (const seed of [7, 17, 27, 37, 47, 57]) {
-	test(`at one and a half times the capacity callers are turned away early (seed ${seed})`, async () => {
+	test(`at one and a half times the capacity callers are refused early (seed ${seed})`, async () => {
 		const outcomes = await playLoad(createDraw(seed), {getLoad: () => 2});
 		const unserved = outcomes.filter(({answer}) => answer !== 'completed');
 		const isTold = (factor: number) =>
@@ -178,7 +182,11 @@
 				unserved,
 				({tookMs, objectiveMs}) => tookMs <= factor * objectiveMs,
 			);
-		assertAtLeast(isTold(1), 0.5, 'told before the answer was due');
-		assertAtLeast(isTold(uselessFactor), 0.95, 'told while of use');
+		assertAtLeast(isTold(1), 0.5, 'answered before the objective has passed');
+		assertAtLeast(
+			isTold(uselessFactor),
+			0.95,
+			'answered while it is useful to submit again',
+		);
 	});
 }
--- a/packages/scheduling/src/process-id.ts
+++ b/packages/scheduling/src/process-id.ts
@@ -1,4 +1,4 @@
-/** A process of a host, named `<host key>.<incarnation>`. */
+/** Identifies one process of a host; written `<host key>.<incarnation>`. */
 export type ProcessId = {host: string; incarnation: string};
 
 export function parseProcessId(id: string): ProcessId {
--- a/packages/scheduling/src/queue-table.ts
+++ b/packages/scheduling/src/queue-table.ts
@@ -1,39 +1,39 @@
 /**
-The configuration that entries work by: queues, by host name and path, and the services behind them.
+The configuration of entries: queues, selected by host name and path, and the services that run their tasks.
 */
 
 export type Queue = {
 	name: string;
-	/** The host name in callers' requests. */
+	/** The host name of callers' requests to this queue. */
 	host: string;
-	/** The beginning of the path, ending in "/". */
+	/** Beginning of the paths of this queue, ending in "/". */
 	prefix: string;
 	service: string;
-	/** 0 goes first. */
+	/** Lower numbers go first; 0 is the highest priority. */
 	priority: number;
 	/** Failed runs after which a task counts as failed. */
 	maxAttempts: number;
-	/** How long a caller waits that does not say. */
+	/** How long a caller waits whose request gives no time-out. */
 	timeoutMs: number;
-	/** The latency objective: `slackFactor` times the longest task, and this. */
+	/** The latency objective is `slackFactor` times the longest task's run time, plus this. */
 	allowanceMs: number;
 	slackFactor: number;
 };
 
 export type QueueTable = {
-	/** Rises with each change. */
+	/** Increases with each change. */
 	version: number;
 	queues: Queue[];
 	/** Services that have executors. */
 	services: string[];
-	/** Those of them whose executors refuse what their capacity doesn't hold. */
+	/** Those of `services` whose executors refuse starts that exceed their capacity. */
 	guardedServices: string[];
-	/** Largest body of a request, bytes. */
+	/** Largest request body, bytes. */
 	maxBodyBytes: number;
 };
 
 /**
-The queue that a request is for: the longest prefix under its host name.
+Finds the queue of a request: of those with its host name, the one with the longest matching prefix.
 
 @example
 findQueue(table, 'meals.example', '/menu/5c0e7a21d94b36f8')?.prefix; // '/menu/'
--- a/packages/scheduling/src/room.ts
+++ b/packages/scheduling/src/room.ts
@@ -1,11 +1,11 @@
 /**
-Room on an executor: what its capacity leaves beside the runs that count against it.
+Room on an executor: its capacity less what its runs use.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
 
 export const noDemand: TaskDemand = {cpu: 0, memoryMb: 0, accelerators: 0};
 
-/** Of an executor that may be given nothing: less than any demand. */
+/** The free room of an executor that must get no task: negative, so that not even a demand of zero fits. */
 export const noRoom: TaskDemand = {cpu: -1, memoryMb: -1, accelerators: -1};
 
 export function addDemand(a: TaskDemand, b: TaskDemand): TaskDemand {
@@ -33,7 +33,7 @@
 }
 
 /**
-How many tasks of one size fit on executors with this much processor free each.
+How many tasks of the same size fit on executors, given the free processor of each; all in thousandths of a core.
 
 @example
 countFits([32_000, 10_000], 14_000); // 2
@@ -51,7 +51,9 @@
 	return fits;
 }
 
-/** Takes that many tasks' processor off the list, fullest room first, as a scheduler would. */
+/**
+Subtracts up to that many tasks from the free processor, each where most is free, as a scheduler would place them.
+*/
 export function takeFits(
 	free: readonly number[],
 	cpu: number,
--- a/packages/scheduling/src/start-log.test.ts
+++ b/packages/scheduling/src/start-log.test.ts
@@ -1,5 +1,5 @@
 /**
-What the log tells of starts, so that two runs of one task can be traced to who had them started.
+The log lines of starts, from which two runs of one task can be traced to the holder and the entry that caused them.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -8,7 +8,7 @@
 import {createStartLog} from './start-log.js';
 import {VirtualClock} from './virtual-clock.fixture.js';
 
-test('the starts of a round are told in one line a job, with group, token, entry and the age of what executors said of their room', () => {
+test('the starts of a round are logged in one line per job, with group, token, entry and the age of executors’ capacity', () => {
 	const lines: Array<Record<string, unknown>> = [];
 	const startLog = createStartLog({
 		group: 'mieres',
--- a/packages/scheduling/src/start-log.ts
+++ b/packages/scheduling/src/start-log.ts
@@ -1,8 +1,8 @@
 /**
-The log lines of the starts that one round over the waiting jobs brings about: one a job, which names the group, its holder's
-token and the entry, so that runs of one task can be told apart by who had them started.
+Logs the starts of one placing round, with one line per job. A line names the group, its holder's token and the entry,
+so that the log shows which holder and which entry caused each run of a task.
 
-Not one a start: a job of many tasks would fill the log, and a small host pays for each line.
+There is no line per start: a job of many tasks would fill the log, and each line costs a small host processor time.
 */
 import {type GroupJob, type GroupTask} from './group-job.js';
 
@@ -10,18 +10,18 @@
 	task: number;
 	attempt: number;
 	executor: string;
-	/** How long ago the executor's capacity was first read. */
+	/** Age of the executor's capacity: time since it was first read, milliseconds. */
 	capacityAgeMs: number;
 };
 
 export type StartLog = {
-	/** To be called when the task's state names its executor and the attempt. */
+	/** Records a start. To be called after `task.executor` has been set. */
 	add: (
 		job: GroupJob,
 		task: GroupTask,
 		start: Pick<Start, 'attempt' | 'capacityAgeMs'>,
 	) => void;
-	/** Writes the lines of what was added since the last call. */
+	/** Logs the starts recorded since the last call. */
 	write: () => void;
 };
 
--- a/packages/scheduling/src/stray-ends.ts
+++ b/packages/scheduling/src/stray-ends.ts
@@ -1,16 +1,17 @@
 /**
-Ends that an executor listed of runs that nobody had claimed: started under an earlier holder of the group, and over
-before their entry told this one of its jobs. Forgotten, their tasks would run once more.
+Ends of runs that no entry had claimed when the executor reported them: an earlier holder of the group had started the
+runs, and they ended before their entry sent its parts to this holder. If these ends were dropped, the tasks would run
+again.
 */
 import {type RunEnd} from './executor-control.js';
 import {formatTaskKey} from './run.js';
 
-/** How long they are remembered: an entry that lives tells its parts long before. */
+/** How long these ends are kept: a live entry sends its parts long before that. */
 const strayEndMs = 3000;
 
 export type StrayEnds = {
 	add: (end: RunEnd, now: number) => void;
-	/** Hands out the task's end, once. */
+	/** Removes and returns the task's end; undefined: there is none. */
 	take: (task: {job: string; index: number}) => RunEnd | undefined;
 	forgetOld: (now: number) => void;
 	readonly size: number;
@@ -19,7 +20,7 @@
 /**
 @example
 strays.add(end, now);
-strays.take({job: 'a1', index: 0}); // the end, if it was of that task
+strays.take({job: 'a1', index: 0}); // the end, if it was that task's
 */
 export function createStrayEnds(): StrayEnds {
 	const ends = new Map<string, {end: RunEnd; at: number}>();
--- a/packages/scheduling/src/timing.ts
+++ b/packages/scheduling/src/timing.ts
@@ -1,57 +1,78 @@
 /**
-The clocks that keep a task from running twice at once, as named constants, milliseconds.
+Time limits that keep a task from running twice at once, milliseconds.
 
-A caller sends a lost job again 1,300 ms after it lost its connection, at any host. All that the
-first copy started has to be gone by then:
+A caller that loses its connection resubmits its job after 1,300 ms, to any host. By then every run of the first copy of
+the job has to be over:
 
-- An entry hands tasks to a scheduler under a claim, which it renews by name with its answer to each state that the scheduler
-  tells. A scheduler stops the tasks of a claim `entrySilenceMs` after the state that was answered last, by its own clock.
-- A scheduler that dies renews no lease: its runs end within `leaseMs` of the last renewal.
-- Both at once: leases of executors that run a claim's tasks are renewed no further than
-  `entrySilenceMs + stopMarginMs` after that state, so the two do not add up.
-- An entry that reads no state of a scheduler can't renew anything there, and counts the same span from the last one that it read.
+- An entry sends tasks to a scheduler under a claim. It renews the claim by listing it in its answer (`keep`) to each
+  state message of the scheduler. A scheduler stops the tasks of a claim `entrySilenceMs`, on its own clock, after it
+  sent the last state that the entry answered.
+- A scheduler that dies renews no more leases: its runs end within `leaseMs` of the last renewal.
+- If both fail at once, the two times must not add up. So leases of executors that run tasks of a claim are renewed no
+  further than `entrySilenceMs + stopMarginMs` after that state.
+- An entry that receives no state from a scheduler can't renew claims there, and counts the same time from the last
+  state that it read.
 */
 
-/** How far ahead of the executor's clock a lease is renewed. */
+/** Length of an executor's lease after a renewal. */
 export const leaseMs = 700;
-/** How long one renewal waits at the executor for an end at most. Leaves two more tries within the lease. */
+/**
+How long a renewal waits at the executor for the end of a run, at most. Leaves time for two more tries within the
+lease.
+*/
 export const renewWaitMs = 200;
-/** Least: renewals of runs that are overdue follow one another no faster. */
+/** Shortest wait of a renewal: limits how often renewals are sent while runs are overdue. */
 export const leastRenewWaitMs = 60;
-/** Over the estimate: most runs have ended by then, so a renewal that waits until then brings an end and costs no call of its own. */
+/**
+A renewal waits for this many times a run's estimate: most runs have ended by then, so their ends need no further
+call.
+*/
 export const renewWaitFactor = 1.5;
-/** An idle executor is asked this often, to know its clock and that it lives. */
+/** How often an idle executor is asked for a report, to learn its clock and that it is alive. */
 export const idleLookMs = 1000;
-/** A claim that was not renewed for this long has ended: the answers to four states are missing. */
+/** A claim that was not renewed for this long ends: the answers to four state messages are missing. */
 export const entrySilenceMs = 850;
-/** Time for stops to be carried out before the capped lease ends. */
+/** Time for a claim's stops to be carried out before the lease, limited by that claim, ends. */
 export const stopMarginMs = 150;
-/** An executor carries out a stop in this time. */
+/** An executor carries out a stop within this time. */
 export const stopLimitMs = 50;
-/** Bound on what a claim's tasks may still run, counted from the state that its entry answered last. */
+/** How long tasks of a claim may still run, counted from the last state message that the entry answered. */
 export const orphanLimitMs = entrySilenceMs + stopMarginMs;
 /**
-Runs of a silent entry whose stop has no answer go on no longer than this after they were to be stopped: with the
-silence, and the pause between two looks at it, they are gone before their callers come again.
+How long the runs of a silent entry may go on after they should have been stopped, if the stop is not answered. Together
+with `entrySilenceMs` and the interval between two checks of it, they are over before callers resubmit their jobs.
 */
 export const orphanStopMs = 300;
-/** Likewise runs that are stopped for another reason: the caller of a job that was given up comes again after 1,300 ms. */
+/**
+The same for runs that are stopped for another reason: the caller of a job that was given up resubmits it after
+1,300 ms.
+*/
 export const dropStopMs = 1000;
 /**
-A run of an earlier holder that no entry has claimed by then is stopped. Its entry may have died with that holder: the
-lease that it was found under ends `orphanLimitMs` after the entry's last word at the latest, so that this much more,
-and a stop, stay below the time after which the caller comes again. An entry that lives tells its parts within one exchange.
+A run that an earlier holder started is stopped if no entry claims it within this time after it was found. The entry may
+have died with that holder. The lease under which the run was found ends at most `orphanLimitMs` after the entry's
+last answer; that, this time and a stop add up to less than the time after which the caller resubmits. A live entry
+sends its parts within one message exchange.
 */
 export const claimLimitMs = 200;
-/** Entries that hear of a new holder answer within this time: an exchange between data centres, and a busy host's pause. */
+/**
+Entries answer the first state of a new holder within this time: one exchange between data centres, and a busy host's
+pause.
+*/
 export const entryWordLimitMs = 100;
-/** Two clocks that differ by 2% over the longest span counted here, and a timer's lateness. */
+/** Allowance for two clocks that differ by 2% over the longest time limit here, and for a late timer. */
 export const clockSlackMs = 60;
-/** Longest time after which an order without an answer counts as unanswered: 20 round trips between data centres, and a busy host's pause. */
+/** Longest time-out of a call to an executor: 20 round trips between data centres, and a busy host's pause. */
 export const orderTimeoutMs = 150;
-/** A holder tells its state this often, and at once when it changes hands. Four words fit into the silence after which a holder is replaced. */
+/**
+A holder sends its state this often, and at once when the group changes hands. Four states fit into the silence after
+which a holder is replaced.
+*/
 export const stateEveryMs = 150;
-/** A holder that told nothing for this long offers no room while others have some: two of its words are missing. */
+/**
+A holder whose state was not received for this long offers no room while other groups have some: two state messages
+are missing.
+*/
 export const stateDoubtMs = 375;
-/** A holder that told nothing for this long is not given new parts: three of its words are missing. */
+/** A holder whose state was not received for this long is sent no new parts: three state messages are missing. */
 export const stateStaleMs = 600;
--- a/packages/scheduling/src/told-ends.ts
+++ b/packages/scheduling/src/told-ends.ts
@@ -1,11 +1,11 @@
 /**
-Ends that a scheduler has told entries lately. A connection may have broken before one arrived; the
-entry then sends its part again, and is told the same end instead of the task being started anew.
+Ends that a scheduler has sent to entries recently. If the connection breaks before an end arrives, the entry sends
+its part again. The scheduler then repeats the end instead of starting the task again.
 */
 import {silenceMs, type TaskEnd} from '@gentianshift/protocol';
 import {formatTaskKey} from './run.js';
 
-/** How long an end that was told is remembered: until a silent connection is noticed and made anew. */
+/** How long a sent end is kept: until a broken connection is noticed (`silenceMs`) and opened again. */
 const toldLimitMs = silenceMs + 1000;
 
 export type ToldEnds = {
@@ -14,7 +14,7 @@
 		end: TaskEnd,
 		now: number,
 	) => void;
-	/** The end of this placement of a task, told to the same entry. */
+	/** The end of this placement of the task, if it was sent to the same entry. */
 	find: (
 		job: {id: string; entry: {key: string}},
 		index: number,
--- a/packages/scheduling/src/unsettled-orders.test.ts
+++ b/packages/scheduling/src/unsettled-orders.test.ts
@@ -2,9 +2,10 @@
 import {test} from 'node:test';
 import {createUnsettledOrders} from './unsettled-orders.js';
 
-// An executor that answers again reports several times before its first stop is answered. If each report began a round of its
-// own, two rounds would both stop the first start and strike two off the list; the second would be carried out later.
-test('reports that come while orders are being settled skip none of them', async () => {
+// An executor that answers again sends several reports before its first stop is answered. If each report began its
+// own round, two rounds would stop the first start and remove two from the list; the second start would be carried
+// out later.
+test('reports that arrive while starts are being cancelled skip none of them', async () => {
 	const orders = createUnsettledOrders();
 	orders.add({job: 'job1', index: 0, attempt: 1}, 0);
 	orders.add({job: 'job2', index: 0, attempt: 1}, 0);
@@ -21,7 +22,7 @@
 	assert.ok(orders.isEmpty);
 });
 
-test('an order that could not be stopped is kept for the next time', async () => {
+test('a start that could not be stopped is kept for the next round', async () => {
 	const orders = createUnsettledOrders();
 	orders.add({job: 'job1', index: 0, attempt: 1}, 0);
 	assert.equal(await orders.settle(async () => false), false);
--- a/packages/scheduling/src/unsettled-orders.ts
+++ b/packages/scheduling/src/unsettled-orders.ts
@@ -1,20 +1,20 @@
 /**
-Starts without an answer whose runs were given up: an executor may carry them out yet, seconds later.
+Starts without an answer whose runs were given up. The executor may still carry them out, seconds later.
 
-What goes wrong: the executor was silent until its lease had passed, its tasks were placed elsewhere, and now it
-answers again. A late start would run beside the task's new run as soon as the executor has a lease again. So before
-that each of these starts is made worthless by a stop of the same attempt. They outlive the session: an
-executor whose entry in the store lapses is dropped and comes back as if it were new.
+An executor was silent until its lease had passed, its tasks were placed elsewhere, and now it answers again. As soon as
+it has a lease again, a late start would run beside the task's new run. So before the lease is renewed, each of these
+starts is cancelled by a stop of the same attempt. The list outlives the session: an executor whose registration in the
+store lapses is dropped, and gets a new session when it is listed again.
 */
 import {type RunName} from './executor-control.js';
 
-/** Longer than an order is held up on its way. */
+/** How long a start is kept: longer than a call can be delayed on its way to the executor. */
 const lateOrderLimitMs = 20_000;
 
 export type UnsettledOrders = {
 	readonly isEmpty: boolean;
 	add: (start: RunName, now: number) => void;
-	/** Stops each of them; false: one could not be stopped, and all that are left are kept. */
+	/** Cancels the starts one by one, by `stop`. False: one stop failed; that start and those after it are kept. */
 	settle: (stop: (start: RunName) => Promise<boolean>) => Promise<boolean>;
 	forgetOld: (now: number) => void;
 };
@@ -50,7 +50,7 @@
 		add({job, index, attempt}, now) {
 			orders.push({start: {job, index, attempt}, at: now});
 		},
-		/** Reports come faster than stops are answered: all of them share one round. */
+		/** Reports can arrive faster than stops are answered, so calls made during a round share its result. */
 		async settle(stop) {
 			settling ??= stopAll(stop).finally(() => {
 				settling = undefined;
--- a/packages/scheduling/src/virtual-clock.fixture.ts
+++ b/packages/scheduling/src/virtual-clock.fixture.ts
@@ -1,5 +1,5 @@
 /**
-A clock for tests that moves only when it is told to, and runs what is due on the way.
+A clock for tests whose time passes only in `run`, which also runs the timers that become due.
 */
 
 type Timer = {at: number; run: () => void};
@@ -8,7 +8,7 @@
 	now = 0;
 	readonly #timers: Timer[] = [];
 
-	/** Resolves after so many virtual milliseconds, or when the signal is aborted. */
+	/** Resolves after `ms` virtual milliseconds, or when the signal is aborted. */
 	wait = async (ms: number, signal?: AbortSignal): Promise<void> => {
 		if (signal?.aborted) {
 			return;
@@ -30,7 +30,7 @@
 		this.#timers.splice(this.#findPlace(at), 0, {at, run});
 	}
 
-	/** Moves on by so many milliseconds, one due timer after the other. */
+	/** Advances the clock by `ms` milliseconds, and runs the timers that become due in order. */
 	async run(ms: number): Promise<void> {
 		const endsAt = this.now + ms;
 		await settleTasks();
@@ -48,13 +48,13 @@
 		this.now = endsAt;
 	}
 
-	/** The first timer that is due by then, the oldest of those that are due together. */
+	/** Removes and returns the first timer that is due by `endsAt`; of those due together, the one scheduled first. */
 	#takeDue(endsAt: number): Timer | undefined {
 		const first = this.#timers[0];
 		return first && first.at <= endsAt ? this.#timers.shift() : undefined;
 	}
 
-	/** Timers are kept in the order in which they run: behind all that are due by then. */
+	/** Index at which a timer for `at` is inserted: after all timers due at the same time or earlier. */
 	#findPlace(at: number): number {
 		let from = 0;
 		let to = this.#timers.length;
@@ -71,7 +71,7 @@
 	}
 }
 
-/** Lets promises that are settled run on. */
+/** Yields to the microtask queue several times, so that continuations of settled promises run. */
 async function settleTasks(): Promise<void> {
 	for (let i = 0; i < 12; i += 1) {
 		await Promise.resolve();
