--- a/packages/scheduling/src/answer-times.test.ts
+++ b/packages/scheduling/src/answer-times.test.ts
@@ -4,13 +4,13 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {createAnswerTimes} from './answer-times.js';
-import {orderTimeoutMs} from './timing.js';
+import {maxCallTimeoutMs} from './timing.js';
 
 test('the time-out is short while answers arrive quickly', () => {
 	const times = createAnswerTimes();
 	assert.equal(
 		times.getLimitMs(),
-		orderTimeoutMs,
+		maxCallTimeoutMs,
 		'no answer has been measured yet',
 	);
 	for (let i = 0; i < 20; i += 1) {
@@ -38,7 +38,7 @@
 		times.noteLost();
 	}
 
-	assert.equal(times.getLimitMs(), orderTimeoutMs);
+	assert.equal(times.getLimitMs(), maxCallTimeoutMs);
 	times.note(100);
 	assert.ok(times.getLimitMs() > 100);
 });
--- a/packages/scheduling/src/answer-times.ts
+++ b/packages/scheduling/src/answer-times.ts
@@ -5,22 +5,22 @@
 loss, so the time-out should be short. It is estimated from the answers that do arrive: short while they are fast,
 longer while this host or the network is slow.
 */
-import {orderTimeoutMs} from './timing.js';
+import {maxCallTimeoutMs} from './timing.js';
 
 /**
 A busy host pauses for up to this long. With a shorter time-out, answers received but not yet read would count as
 lost.
 */
-const leastLimitMs = 40;
+const minTimeoutMs = 40;
 /** Weights of a new sample in the moving mean and deviation, as in TCP's retransmission timer. */
 const meanWeight = 1 / 8;
 const deviationWeight = 1 / 4;
-const deviations = 4;
+const deviationFactor = 4;
 /**
 After this many lost answers in a row the estimate is taken to be too short: the longest time-out applies until one
 arrives.
 */
-const lostInRow = 3;
+const maxLossesInRow = 3;
 
 export type AnswerTimes = {
 	/** A call was answered, or failed, within the time-out. `tookMs`: how long that took. */
@@ -38,26 +38,26 @@
 times.getLimitMs(); // 40: the minimum
 */
 export function createAnswerTimes(): AnswerTimes {
-	let mean: number | undefined;
-	let deviation = 0;
-	let lost = 0;
+	let meanMs: number | undefined;
+	let deviationMs = 0;
+	let lossesInRow = 0;
 	return {
 		note(tookMs) {
-			lost = 0;
-			const error = tookMs - (mean ?? tookMs);
-			mean = (mean ?? tookMs) + meanWeight * error;
-			deviation += deviationWeight * (Math.abs(error) - deviation);
+			lossesInRow = 0;
+			const errorMs = tookMs - (meanMs ?? tookMs);
+			meanMs = (meanMs ?? tookMs) + meanWeight * errorMs;
+			deviationMs += deviationWeight * (Math.abs(errorMs) - deviationMs);
 		},
 		noteLost() {
-			lost += 1;
+			lossesInRow += 1;
 		},
 		getLimitMs() {
-			if (mean === undefined || lost >= lostInRow) {
-				return orderTimeoutMs;
+			if (meanMs === undefined || lossesInRow >= maxLossesInRow) {
+				return maxCallTimeoutMs;
 			}
 
-			const limit = mean + deviations * deviation;
-			return Math.min(orderTimeoutMs, Math.max(leastLimitMs, limit));
+			const timeoutMs = meanMs + deviationFactor * deviationMs;
+			return Math.min(maxCallTimeoutMs, Math.max(minTimeoutMs, timeoutMs));
 		},
 	};
 }
--- a/packages/scheduling/src/changing-capacity.test.ts
+++ b/packages/scheduling/src/changing-capacity.test.ts
@@ -18,14 +18,14 @@
 	openScheduler,
 	runFor,
 } from './group-scheduler.fixture.js';
-import {claimLimitMs, renewWaitMs} from './timing.js';
+import {claimLimitMs, maxRenewWaitMs} from './timing.js';
 import {VirtualClock} from './virtual-clock.fixture.js';
 
 const demand = {cpu: 14_000, memoryMb: 64, accelerators: 0};
 const large = {...demand, cpu: 28_000};
 
 /** Changes the capacity that the first executor reports, and gives the scheduler the new list of executors. */
-function sayCapacity(
+function reportCapacity(
 	executors: FakeExecutors,
 	scheduler: {setExecutors: (list: FakeExecutors['executors']) => void},
 	capacity: Partial<typeof demand>,
@@ -51,7 +51,7 @@
 	scheduler.receivePart(entry, part);
 	await runFor(clock, 100, [[scheduler, entry]]);
 	assert.equal(countActive(executors), 2);
-	sayCapacity(executors, scheduler, {cpu: 16_000});
+	reportCapacity(executors, scheduler, {cpu: 16_000});
 	const {free, capacity} = scheduler.describeState();
 	assert.deepEqual({free, capacity}, {free: [0], capacity: 16_000});
 	scheduler.receivePart(
@@ -68,12 +68,12 @@
 	const {clock, executors, scheduler, entry} = await openScheduler({count: 1});
 	scheduler.receivePart(entry, makePart(clock));
 	await runFor(clock, 50, [[scheduler, entry]]);
-	sayCapacity(executors, scheduler, {memoryMb: 32});
+	reportCapacity(executors, scheduler, {memoryMb: 32});
 	assert.deepEqual(scheduler.describeState().free, [0]);
 });
 
-// A stop is answered before the run has ended. A start in the room of that run would overload the executor.
-test('a run that is being stopped uses room until the executor reports its end', async () => {
+// A stop is answered before the run has ended. A start in its place would overload the executor.
+test('a run that is being stopped uses capacity until the executor reports its end', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 2000,
@@ -100,7 +100,7 @@
 
 // A start gets no answer and is carried out late, while the executor is silent. When the executor answers again, that
 // run is stopped; a start before it has ended would overload the executor.
-test('a run that started late during a silence uses room until it has ended', async () => {
+test('a run that started late during a silence uses capacity until it has ended', async () => {
 	let isSilent = false;
 	let lateMs = 0;
 	const {clock, executors, scheduler, entry} = await openScheduler({
@@ -140,7 +140,7 @@
 	assert.deepEqual(findOverfull(executors, 0), []);
 });
 
-// The added room would stay unused while tasks wait.
+// The added capacity would stay unused while tasks wait.
 test('a capacity that has grown is used as soon as the next list shows it', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
@@ -153,7 +153,7 @@
 	);
 	await runFor(clock, 100, [[scheduler, entry]]);
 	assert.equal(countActive(executors), 0);
-	sayCapacity(executors, scheduler, {cpu: 32_000});
+	reportCapacity(executors, scheduler, {cpu: 32_000});
 	await clock.run(1);
 	assert.equal(countActive(executors), 2);
 });
@@ -215,13 +215,13 @@
 // The executor would stay idle because of a run whose demand no entry will ever tell.
 test('an executor that does not enforce its capacity gets tasks again once an unclaimed run has been stopped', async () => {
 	const {clock, executors, entry, second} = await takeOver(false);
-	await runFor(clock, claimLimitMs + 2 * renewWaitMs, [[second, entry]]);
+	await runFor(clock, claimLimitMs + 2 * maxRenewWaitMs, [[second, entry]]);
 	assert.equal(countActive(executors), 2);
 	assert.deepEqual(findOverfull(executors, 0), []);
 });
 
 // The start would be sent and refused again and again, and each attempt costs a call.
-test('an executor that has refused a start for lack of room gets no other until its room changes', async () => {
+test('an executor that has refused a start for lack of free capacity gets no other until that changes', async () => {
 	const {clock, executors, entry, second, part, starts} = await takeOver(true);
 	second.receivePart(entry, {...part, stateAt: clock.now, isMoved: true});
 	await runFor(clock, 50, [[second, entry]]);
@@ -233,9 +233,9 @@
 	assert.deepEqual(listOutcomes(entry), ['done', 'done', 'done']);
 });
 
-// A refusal for lack of room is no fault of the executor or the task. If it counted as one, the task would go to a
-// worse executor.
-test('a refusal for lack of room does not count against the executor or the task', async () => {
+// A refusal for lack of free capacity is no fault of the executor or the task. If it counted as one, the task would go
+// to a worse executor.
+test('a refusal for lack of free capacity does not count against the executor or the task', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 2,
 		taskMs: 2000,
@@ -275,8 +275,8 @@
 	assert.equal(countActive(executors), 1);
 });
 
-// Room that is known to have changed would stay unused for the whole pause after a refusal.
-test('an executor that has refused a start is tried again at once when its room changes', async () => {
+// Free capacity that is known to have changed would stay unused for the whole pause after a refusal.
+test('an executor that has refused a start is tried again at once when its free capacity changes', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: ({job}) => (job === 'short' ? 30 : 2000),
@@ -299,7 +299,7 @@
 	scheduler.receivePart(entry, makePart(clock, {job: 'job2'}));
 	await clock.run(5);
 	assert.equal(countActive(executors), 1);
-	sayCapacity(executors, scheduler, {cpu: 2 * demand.cpu});
+	reportCapacity(executors, scheduler, {cpu: 2 * demand.cpu});
 	await clock.run(5);
 	assert.equal(countActive(executors), 2);
 });
--- a/packages/scheduling/src/choose-holder.test.ts
+++ b/packages/scheduling/src/choose-holder.test.ts
@@ -43,17 +43,20 @@
 // A holder that is cut off only from the store does not see executors drain. While the store is down for all hosts,
 // another holder would be no better off.
 test('a holder that can not reach the store loses its group only to a host that can', () => {
-	const blind = makeView({storeAgeMs: storeSilenceMs + 1});
-	assert.ok(isVacant(blind));
-	assert.equal(isVacant({...blind, ownStoreAgeMs: storeSilenceMs + 1}), false);
+	const storelessView = makeView({storeAgeMs: storeSilenceMs + 1});
+	assert.ok(isVacant(storelessView));
+	assert.equal(
+		isVacant({...storelessView, ownStoreAgeMs: storeSilenceMs + 1}),
+		false,
+	);
 });
 
 // After a store outage one host reaches the store a moment before the holder does. Executors' registrations have lapsed
 // meanwhile. A host that took the group over with its first list would find no executor there, and would refuse
 // the data centre's callers until executors have registered again.
 test('a holder that can not reach the store yet keeps its group while the other host’s list is incomplete', () => {
-	const blind = makeView({storeAgeMs: storeSilenceMs + 1});
-	assert.equal(isVacant({...blind, isOwnListComplete: false}), false);
+	const storelessView = makeView({storeAgeMs: storeSilenceMs + 1});
+	assert.equal(isVacant({...storelessView, isOwnListComplete: false}), false);
 });
 
 test('hosts try one after the other, and later while the store is unreachable', () => {
--- a/packages/scheduling/src/choose-holder.ts
+++ b/packages/scheduling/src/choose-holder.ts
@@ -54,7 +54,7 @@
 		return false;
 	}
 
-	const isBlind =
+	const hasLostStore =
 		holder.storeAgeMs > storeSilenceMs &&
 		ownStoreAgeMs < storeSilenceMs / 2 &&
 		isOwnListComplete;
@@ -62,7 +62,7 @@
 		holder.isReleased ||
 		holder.isLeaving ||
 		holder.silentMs > holderSilenceMs ||
-		isBlind
+		hasLostStore
 	);
 }
 
--- a/packages/scheduling/src/ends-outbox.ts
+++ b/packages/scheduling/src/ends-outbox.ts
@@ -6,7 +6,7 @@
 */
 import {type Ends, type Part, type TaskEnd} from '@gentianshift/protocol';
 import {type GroupJob, type GroupTask} from './group-job.js';
-import {createToldEnds} from './told-ends.js';
+import {createSentEnds} from './sent-ends.js';
 
 export type EndsOutbox = {
 	/** Queues an end for the next `flush`. */
@@ -34,19 +34,19 @@
 
 /** `token`: the fencing token of the holder that sends the ends. */
 export function createEndsOutbox(token: number): EndsOutbox {
-	const told = createToldEnds();
-	const waiting = new Map<GroupJob, TaskEnd[]>();
+	const sentEnds = createSentEnds();
+	const queuedEnds = new Map<GroupJob, TaskEnd[]>();
 
-	function enter(job: GroupJob, end: TaskEnd): void {
-		const ends = waiting.get(job) ?? [];
+	function pushEnd(job: GroupJob, end: TaskEnd): void {
+		const ends = queuedEnds.get(job) ?? [];
 		ends.push(end);
-		waiting.set(job, ends);
+		queuedEnds.set(job, ends);
 	}
 
 	return {
 		add(job, end, now) {
-			told.remember(job, end, now);
-			enter(job, end);
+			sentEnds.remember(job, end, now);
+			pushEnd(job, end);
 		},
 		giveBack(job, tasks, reason, now) {
 			const ends = tasks.map(({index, nextAttempt, placement}): TaskEnd => ({
@@ -56,7 +56,7 @@
 				placement,
 			}));
 			for (const end of ends) {
-				told.remember(job, end, now);
+				sentEnds.remember(job, end, now);
 			}
 
 			if (ends.length > 0) {
@@ -68,24 +68,24 @@
 		},
 		tellAgain(job, {tasks}) {
 			for (const [index, , placement] of tasks) {
-				const end = told.find(job, index, placement);
+				const end = sentEnds.find(job, index, placement);
 				if (end) {
-					enter(job, end);
+					pushEnd(job, end);
 				}
 			}
 		},
 		isTold: (job, {index, placement}) =>
-			told.find(job, index, placement) !== undefined,
+			sentEnds.find(job, index, placement) !== undefined,
 		flush() {
-			for (const [job, ends] of waiting) {
+			for (const [job, ends] of queuedEnds) {
 				if (!job.isDropped || job.isOrphaned) {
 					send(job, {token, ends});
 				}
 			}
 
-			waiting.clear();
+			queuedEnds.clear();
 		},
-		forgetOld: told.forgetOld,
+		forgetOld: sentEnds.forgetOld,
 	};
 }
 
--- a/packages/scheduling/src/executor-session.ts
+++ b/packages/scheduling/src/executor-session.ts
@@ -28,22 +28,22 @@
 import {
 	claimLimitMs,
 	dropStopMs,
-	idleLookMs,
-	leastRenewWaitMs,
+	idleReportIntervalMs,
+	maxRenewWaitMs,
+	minRenewWaitMs,
 	renewWaitFactor,
-	renewWaitMs,
 	stopLimitMs,
 } from './timing.js';
-import {type UnsettledOrders} from './unsettled-orders.js';
+import {type UnansweredStarts} from './unanswered-starts.js';
 
 /** A start under a shorter lease than this would be lost, as the lease expires first, or be carried out too late. */
-const leastLeaseMs = 150;
+const minLeaseMs = 150;
 
 /**
 After a start was refused or could not be delivered, the executor gets none for this long. After a refusal for lack of
-room the pause ends early if its room changes.
+free capacity the pause ends early if that may have changed.
 */
-const declinedRestMs = 150;
+const failedStartPauseMs = 150;
 
 export type SessionPorts = {
 	now: () => number;
@@ -55,7 +55,7 @@
 	/** Answer times of all executors of the group. */
 	answerTimes: AnswerTimes;
 	/** Unanswered starts sent to this executor, including those of earlier sessions. */
-	unsettled: UnsettledOrders;
+	unansweredStarts: UnansweredStarts;
 	onRunEnd: (run: Run, outcome: RunOutcome, session: ExecutorSession) => void;
 	/** The executor crashed while these runs were on it. */
 	onCrash: (executor: string, runs: readonly Run[]) => void;
@@ -64,7 +64,8 @@
 	/** The executor has not crashed: the same process answers again, or it left while draining. */
 	onCleared: (executor: string) => void;
 	/**
-	The executor has become available, is gone, or has other room than before; called once for all ends of one report.
+	The executor has become available, is gone, or its free capacity may have changed; called once for all ends of one
+	report.
 	*/
 	onChange: () => void;
 	/** Another scheduler holds the group. */
@@ -86,17 +87,17 @@
 	readonly #book = createRunBook();
 	readonly #lease = createExecutorLease();
 	readonly #orders: RunOrders;
-	readonly #crashes: CrashWatch;
+	readonly #crashWatch: CrashWatch;
 	#isListed = true;
 	/** Number of renewals in a row without an answer. */
-	#missed = 0;
+	#missedRenewals = 0;
 	/** The executor's clock in its newest report. An older report that arrives after it is ignored. */
 	#reportedClockMs = -Infinity;
 	readonly #closing = new AbortController();
-	/** Until then no room counts as free: the executor has refused a start for lack of room. */
+	/** Until then none of its capacity counts as free: the executor has refused a start for lack of free capacity. */
 	#fullUntil = -Infinity;
 	/** The pause between two renewals; undefined: no pause is going on. */
-	#idle: {end: () => void} | undefined;
+	#idlePause: {end: () => void} | undefined;
 
 	constructor(
 		executor: Executor,
@@ -104,7 +105,7 @@
 	) {
 		this.#executor = executor;
 		this.#orders = this.#createOrders();
-		this.#crashes = createCrashWatch({
+		this.#crashWatch = createCrashWatch({
 			isDraining: () => this.isDraining,
 			onSilence: (runs) => {
 				ports.onSilence(this.id, runs);
@@ -177,8 +178,7 @@
 	*/
 	get isExtendable(): boolean {
 		return (
-			this.ports.getLeaseCap(this.runs.values()) >
-			this.ports.now() + leastLeaseMs
+			this.ports.getLeaseCap(this.runs.values()) > this.ports.now() + minLeaseMs
 		);
 	}
 
@@ -202,7 +202,7 @@
 
 	/** Starts to renew the lease in the background; returns at once. */
 	open(): void {
-		this.silentSince = this.ports.unsettled.isEmpty
+		this.silentSince = this.ports.unansweredStarts.isEmpty
 			? undefined
 			: this.ports.now();
 		void this.#repeatRenewals();
@@ -214,7 +214,7 @@
 	close(): void {
 		// The next holder may never see this executor or its runs, so possible crashes are recorded now.
 		if (this.silentSince !== undefined && !this.isGone) {
-			this.#crashes.noteLapsed([...this.runs.values()]);
+			this.#crashWatch.noteLapsed([...this.runs.values()]);
 		}
 
 		this.#closing.abort();
@@ -240,23 +240,23 @@
 		};
 		this.#book.enter(run);
 		this.#orders.start(run, spec);
-		this.#idle?.end();
+		this.#idlePause?.end();
 	}
 
 	/**
-	Stops a run; its room becomes free when the executor reports its end. `stopBy`: when the run has to be over; this
+	Stops a run; its capacity becomes free when the executor reports its end. `stopBy`: when the run has to be over; this
 	host's clock.
 	*/
 	stop(run: Run, stopBy: number): void {
 		this.#orders.stop(run, stopBy);
-		this.#idle?.end();
+		this.#idlePause?.end();
 	}
 
 	/** To be called when the store no longer lists the executor: it counts as gone, so its runs are stopped. */
 	stopAll(): void {
 		this.#isListed = false;
 		if (this.silentSince !== undefined) {
-			this.#crashes.noteGone([...this.runs.values()]);
+			this.#crashWatch.noteGone([...this.runs.values()]);
 		}
 
 		const stopBy = this.ports.now() + dropStopMs;
@@ -302,14 +302,14 @@
 				this.#setClock(clockMs);
 			},
 			onFailure: (failure, call) => {
-				this.#receiveOrderFailure(failure, call);
+				this.#handleOrderFailure(failure, call);
 			},
 			onStopped: () => {
-				void this.#look();
+				void this.#fetchReport();
 			},
 			onUnstarted: (run, outcome) => {
 				this.#book.remove(run);
-				this.#tellEnd({run, outcome});
+				this.#reportEnd({run, outcome});
 				this.ports.onChange();
 			},
 			log,
@@ -320,7 +320,7 @@
 		const {signal} = this.#closing;
 		while (!signal.aborted && !this.isGone) {
 			const pause = await this.#renew();
-			this.#dropLapsed();
+			this.#dropLapsedRuns();
 			this.#stopUnclaimed();
 			if (pause > 0 && !signal.aborted) {
 				await this.#waitIdle(pause);
@@ -331,7 +331,7 @@
 	/** Waits until the time is over, a start or stop is sent, or the session is closed. */
 	async #waitIdle(ms: number): Promise<void> {
 		await new Promise<void>((resolve) => {
-			this.#idle = {end: resolve};
+			this.#idlePause = {end: resolve};
 			void this.ports.wait(ms, this.#closing.signal).then(resolve);
 		});
 	}
@@ -343,9 +343,9 @@
 		const {control, now} = this.ports;
 		const sentAt = now();
 		const canRenew = this.runs.size > 0 && this.silentSince === undefined;
-		const canWait = canRenew && this.isReported && this.#missed === 0;
+		const canWait = canRenew && this.isReported && this.#missedRenewals === 0;
 		const reply = await control.renewLease(this.#executor, {
-			...this.#makeLook(),
+			...this.#makeReportRequest(),
 			leaseUntilMs: canRenew ? this.#extendLease() : undefined,
 			waitMs: canWait ? this.#computeWait(sentAt) : 0,
 		});
@@ -354,28 +354,33 @@
 		}
 
 		if (reply.isErr()) {
-			return this.#receiveMissed(reply.error);
+			return this.#handleMissedRenewal(reply.error);
 		}
 
-		this.#missed = 0;
-		this.#receiveReport(reply.value, sentAt);
-		return this.runs.size > 0 || reply.value.hasMoreEnds ? 0 : idleLookMs;
+		this.#missedRenewals = 0;
+		this.#handleReport(reply.value, sentAt);
+		return this.runs.size > 0 || reply.value.hasMoreEnds
+			? 0
+			: idleReportIntervalMs;
 	}
 
 	/**
 	Asks for a report at once, while a renewal may still wait at the executor: a task is held up until the end is
 	known.
 	*/
-	async #look(): Promise<void> {
+	async #fetchReport(): Promise<void> {
 		const {control, now} = this.ports;
 		const sentAt = now();
-		const reply = await control.renewLease(this.#executor, this.#makeLook());
+		const reply = await control.renewLease(
+			this.#executor,
+			this.#makeReportRequest(),
+		);
 		if (reply.isOk() && !this.#closing.signal.aborted) {
-			this.#receiveReport(reply.value, sentAt);
+			this.#handleReport(reply.value, sentAt);
 		}
 	}
 
-	#makeLook(): LeaseRequest {
+	#makeReportRequest(): LeaseRequest {
 		return {
 			token: this.ports.getToken(),
 			acknowledged: this.#book.acknowledged,
@@ -389,26 +394,26 @@
 	milliseconds.
 	*/
 	#computeWait(now: number): number {
-		let nextMs = renewWaitMs;
+		let waitMs = maxRenewWaitMs;
 		for (const {startedAt, estimateMs} of this.runs.values()) {
 			if (estimateMs !== undefined) {
-				const endsAt = startedAt + renewWaitFactor * estimateMs;
-				nextMs = Math.min(nextMs, endsAt - now);
+				const waitUntil = startedAt + renewWaitFactor * estimateMs;
+				waitMs = Math.min(waitMs, waitUntil - now);
 			}
 		}
 
-		return Math.ceil(Math.max(leastRenewWaitMs, nextMs));
+		return Math.ceil(Math.max(minRenewWaitMs, waitMs));
 	}
 
 	/** A first lost answer is asked for again at once; returns the pause until the next renewal, milliseconds. */
-	#receiveMissed(failure: CallFailure): number {
-		this.#missed += 1;
-		const isFirst = this.#missed === 1 && failure.code === 'unanswered';
+	#handleMissedRenewal(failure: CallFailure): number {
+		this.#missedRenewals += 1;
+		const isFirst = this.#missedRenewals === 1 && failure.code === 'unanswered';
 		if (isFirst && this.isReported && this.silentSince === undefined) {
 			return 0;
 		}
 
-		this.#receiveFailure(failure, 'renewal');
+		this.#handleFailure(failure, 'renewal');
 		return retryMs;
 	}
 
@@ -419,7 +424,7 @@
 	}
 
 	/** Enters the whole report in the book before any callback acts on a part of it. */
-	#receiveReport(report: LeaseReply, sentAt: number): void {
+	#handleReport(report: LeaseReply, sentAt: number): void {
 		if (report.clockMs < this.#reportedClockMs) {
 			return;
 		}
@@ -443,7 +448,7 @@
 
 		this.isReported ||= isFirst;
 		if (isFirst || this.silentSince !== undefined) {
-			this.#crashes.noteAnswer();
+			this.#crashWatch.noteAnswer();
 		}
 
 		if (this.silentSince !== undefined) {
@@ -455,7 +460,7 @@
 		}
 
 		for (const end of ended) {
-			this.#tellEnd(end);
+			this.#reportEnd(end);
 		}
 
 		if (isFirst || ended.length > 0 || report.ended.length > 0) {
@@ -481,11 +486,11 @@
 	cancelled first; only then is the lease renewed again.
 	*/
 	async #endSilence(): Promise<void> {
-		const {control, getToken, answerTimes, log, onChange, unsettled} =
+		const {control, getToken, answerTimes, log, onChange, unansweredStarts} =
 			this.ports;
-		const isSettled =
-			unsettled.isEmpty ||
-			(await unsettled.settle(async (start) => {
+		const isNoneLeft =
+			unansweredStarts.isEmpty ||
+			(await unansweredStarts.cancelAll(async (start) => {
 				const reply = await control.stopTask(this.#executor, {
 					...start,
 					token: getToken(),
@@ -493,7 +498,7 @@
 				});
 				return reply.isOk() || reply.error.code === 'outdated';
 			}));
-		if (isSettled && this.silentSince !== undefined) {
+		if (isNoneLeft && this.silentSince !== undefined) {
 			this.silentSince = undefined;
 			log('executor answers again', {executor: this.id});
 			onChange();
@@ -516,24 +521,24 @@
 		);
 	}
 
-	#receiveOrderFailure(failure: CallFailure, call: 'start' | 'stop'): void {
+	#handleOrderFailure(failure: CallFailure, call: 'start' | 'stop'): void {
 		if (failure.clockMs !== undefined) {
 			this.#setClock(failure.clockMs);
 		}
 
 		const {code} = failure;
-		const isBusy = code !== 'outdated' && code !== 'lease-passed';
-		const restsUntil = this.ports.now() + declinedRestMs;
+		const isExecutorFault = code !== 'outdated' && code !== 'lease-passed';
+		const pausedUntil = this.ports.now() + failedStartPauseMs;
 		if (code === 'no-room') {
-			this.#fullUntil = restsUntil;
-		} else if (call === 'start' && isBusy) {
-			this.trust.restsUntil = restsUntil;
+			this.#fullUntil = pausedUntil;
+		} else if (call === 'start' && isExecutorFault) {
+			this.trust.restsUntil = pausedUntil;
 		}
 
-		this.#receiveFailure(failure, call);
+		this.#handleFailure(failure, call);
 	}
 
-	#receiveFailure(failure: CallFailure, call: string): void {
+	#handleFailure(failure: CallFailure, call: string): void {
 		switch (failure.code) {
 			case 'fenced': {
 				this.ports.onFenced();
@@ -541,7 +546,7 @@
 			}
 
 			case 'replaced': {
-				this.#endLife('another life of the executor answers');
+				this.#markGone('another life of the executor answers');
 				break;
 			}
 
@@ -577,18 +582,18 @@
 	}
 
 	/** Marks the executor as gone: all its runs are certain to be over. */
-	#endLife(reason: string): void {
+	#markGone(reason: string): void {
 		this.isGone = true;
 		this.ports.log('executor is gone', {
 			executor: this.id,
 			reason,
 			runs: this.runs.size,
 		});
-		this.#crashes.noteGone(this.#abandonRuns());
+		this.#crashWatch.noteGone(this.#abandonRuns());
 		this.ports.onChange();
 	}
 
-	#dropLapsed(): void {
+	#dropLapsedRuns(): void {
 		const isLapsed = this.#lease.hasPassed(this.ports.now());
 		if (this.silentSince !== undefined && isLapsed && this.runs.size > 0) {
 			this.ports.log('lease of a silent executor has passed', {
@@ -597,9 +602,9 @@
 			});
 			const lapsed = this.#abandonRuns();
 			if (this.#isListed) {
-				this.#crashes.noteLapsed(lapsed);
+				this.#crashWatch.noteLapsed(lapsed);
 			} else {
-				this.#crashes.noteGone(lapsed);
+				this.#crashWatch.noteGone(lapsed);
 			}
 
 			this.ports.onChange();
@@ -627,18 +632,18 @@
 		for (const run of lost) {
 			this.#book.remove(run);
 			if (run.acceptedAt === undefined && !run.isFound) {
-				this.ports.unsettled.add(run, this.ports.now());
+				this.ports.unansweredStarts.add(run, this.ports.now());
 			}
 		}
 
 		for (const run of lost) {
-			this.#tellEnd({run, outcome: 'lost'});
+			this.#reportEnd({run, outcome: 'lost'});
 		}
 
 		return lost;
 	}
 
-	#tellEnd({run, outcome}: {run: Run; outcome: RunOutcome}): void {
+	#reportEnd({run, outcome}: {run: Run; outcome: RunOutcome}): void {
 		if (outcome === 'lost' && !this.isGone && this.silentSince === undefined) {
 			this.ports.log('run is neither listed nor ended', {
 				executor: this.id,
--- a/packages/scheduling/src/executor-set.ts
+++ b/packages/scheduling/src/executor-set.ts
@@ -7,9 +7,9 @@
 import {type Executor} from './executor.js';
 import {formatTaskKey, type Run} from './run.js';
 import {
-	createUnsettledOrders,
-	type UnsettledOrders,
-} from './unsettled-orders.js';
+	createUnansweredStarts,
+	type UnansweredStarts,
+} from './unanswered-starts.js';
 
 export type ExecutorSet = {
 	readonly sessions: ReadonlyMap<string, ExecutorSession>;
@@ -35,32 +35,32 @@
 };
 
 export function createExecutorSet(
-	ports: Omit<SessionPorts, 'unsettled' | 'answerTimes'>,
+	ports: Omit<SessionPorts, 'unansweredStarts' | 'answerTimes'>,
 ): ExecutorSet {
 	const sessions = new Map<string, ExecutorSession>();
 	const answerTimes = createAnswerTimes();
 	/** By executor id, including executors whose session is closed. */
-	const unsettledOrders = new Map<string, UnsettledOrders>();
-	let listed: ReadonlySet<string> = new Set();
+	const unansweredStarts = new Map<string, UnansweredStarts>();
+	let listedIds: ReadonlySet<string> = new Set();
 
-	function open(executor: Executor): void {
+	function openSession(executor: Executor): void {
 		const {id} = executor;
-		const unsettled = unsettledOrders.get(id) ?? createUnsettledOrders();
-		unsettledOrders.set(id, unsettled);
+		const starts = unansweredStarts.get(id) ?? createUnansweredStarts();
+		unansweredStarts.set(id, starts);
 		const session = new ExecutorSession(executor, {
 			...ports,
 			answerTimes,
-			unsettled,
+			unansweredStarts: starts,
 		});
 		sessions.set(id, session);
 		session.open();
 	}
 
-	function forgetSettled(now: number): void {
-		for (const [id, orders] of unsettledOrders) {
-			orders.forgetOld(now);
-			if (orders.isEmpty && !sessions.has(id)) {
-				unsettledOrders.delete(id);
+	function forgetOldStarts(now: number): void {
+		for (const [id, starts] of unansweredStarts) {
+			starts.forgetOld(now);
+			if (starts.isEmpty && !sessions.has(id)) {
+				unansweredStarts.delete(id);
 			}
 		}
 	}
@@ -68,26 +68,28 @@
 	return {
 		sessions,
 		setListed(executors) {
-			listed = new Set(executors.map(({id}) => id));
+			listedIds = new Set(executors.map(({id}) => id));
 			for (const executor of executors) {
 				const session = sessions.get(executor.id);
 				if (session) {
 					session.update(executor);
 				} else {
-					open(executor);
+					openSession(executor);
 				}
 			}
 
 			// The next holder would not learn of an unlisted executor, and could start the tasks that run there a
 			// second time.
 			for (const [id, session] of sessions) {
-				if (!listed.has(id)) {
+				if (!listedIds.has(id)) {
 					session.stopAll();
 				}
 			}
 		},
 		listOpen: () =>
-			[...sessions.values()].filter(({id, isOpen}) => isOpen && listed.has(id)),
+			[...sessions.values()].filter(
+				({id, isOpen}) => isOpen && listedIds.has(id),
+			),
 		isReported: () =>
 			sessions.size > 0 &&
 			[...sessions.values()].every(
@@ -110,13 +112,13 @@
 			),
 		closeUnlisted(now) {
 			for (const [id, session] of sessions) {
-				if (!listed.has(id) && session.runs.size === 0) {
+				if (!listedIds.has(id) && session.runs.size === 0) {
 					sessions.delete(id);
 					session.close();
 				}
 			}
 
-			forgetSettled(now);
+			forgetOldStarts(now);
 		},
 		closeAll() {
 			for (const session of sessions.values()) {
--- a/packages/scheduling/src/fake-executors.fixture.ts
+++ b/packages/scheduling/src/fake-executors.fixture.ts
@@ -90,7 +90,7 @@
 		cpu?: number;
 		/** Run time of all tasks, or a function that gives each task's. */
 		taskMs?: number | ((task: {job: string; index: number}) => number);
-		/** Decides what happens to calls that `cutFrom` and `lateStartMs` do not affect. */
+		/** Decides what happens to calls that no setting of the fake executor makes lost or late. */
 		decideFate?: (call: FakeCall) => CallFate;
 		/** How often an executor that waits for the end of a run checks for one. */
 		lookMs?: number;
@@ -141,7 +141,7 @@
 	}));
 
 	/** The fake whose address this is; it may have restarted since. */
-	function find({address}: Executor): FakeExecutor {
+	function findFake({address}: Executor): FakeExecutor {
 		return fakes.find(({executor}) => executor.address === address)!;
 	}
 
@@ -309,13 +309,13 @@
 		return err({code: 'unanswered', message: 'no answer'});
 	}
 
-	/** Carries out a call as `decideFate` says, unless the executor process that was called has ended. */
+	/** Carries out a call, or loses it, as decided for it, unless the executor process that was called has ended. */
 	async function carryOut<T>(
 		call: FakeCall & {to: Executor},
 		limits: {answerLimitMs: number; waitMs?: number},
 		work: () => Result<T, CallFailure> | Promise<Result<T, CallFailure>>,
 	): Promise<Result<T, CallFailure>> {
-		const run = async () => refuseFormer(find(call.to), call.to) ?? work();
+		const run = async () => refuseFormer(findFake(call.to), call.to) ?? work();
 		const fate = decideFate(call);
 		switch (fate.type) {
 			case 'answered': {
@@ -341,7 +341,7 @@
 	}
 
 	async function sendStart(executor: Executor, request: StartRequest) {
-		const fake = find(executor);
+		const fake = findFake(executor);
 		if (isCut(fake, request.token)) {
 			return loseAnswer(request);
 		}
@@ -371,7 +371,7 @@
 		executor: Executor,
 		request: StopRequest,
 	): Promise<Result<{clockMs: number}, CallFailure>> {
-		const fake = find(executor);
+		const fake = findFake(executor);
 		return isCut(fake, request.token)
 			? loseAnswer(request)
 			: carryOut(
@@ -415,7 +415,7 @@
 		executor: Executor,
 		request: LeaseRequest,
 	): Promise<Result<LeaseReply, CallFailure>> {
-		const fake = find(executor);
+		const fake = findFake(executor);
 		return isCut(fake, request.token)
 			? loseAnswer(request)
 			: carryOut(
@@ -547,15 +547,17 @@
 ): string[] {
 	return runs.flatMap(({job, index, executor, startedAt, used}) => {
 		// Ids of one executor before and after a restart differ only behind the dot; its capacity stays the same.
-		const [machine] = executor.split('.', 1);
+		const [name] = executor.split('.', 1);
 		const fake = fakes.find(
-			(one) => one.executor.id.split('.', 1)[0] === machine,
+			(one) => one.executor.id.split('.', 1)[0] === name,
 		)!;
-		const first = fake.said.findLastIndex(({at}) => at <= startedAt - graceMs);
-		const isHeld = fake.said
-			.slice(first)
+		const firstIndex = fake.said.findLastIndex(
+			({at}) => at <= startedAt - graceMs,
+		);
+		const hasFit = fake.said
+			.slice(firstIndex)
 			.some(({at, capacity}) => at <= startedAt && hasRoom(capacity, used));
-		return fake.executor.isGuarded || isHeld
+		return fake.executor.isGuarded || hasFit
 			? []
 			: [`${job}/${index} on ${executor} at ${startedAt}: ${used.cpu} in use`];
 	});
--- a/packages/scheduling/src/fencing-token.ts
+++ b/packages/scheduling/src/fencing-token.ts
@@ -10,20 +10,20 @@
 */
 import {createHash} from 'node:crypto';
 
-const slots = 4096;
+const slotCount = 4096;
 /** How many takeovers without the store fit between two of its revisions. */
 const takeoversPerRevision = 64;
 
 export function makeStoreToken(revision: number): number {
-	return revision * takeoversPerRevision * slots;
+	return revision * takeoversPerRevision * slotCount;
 }
 
 /** The slot of a host: always the same for the same name, independent of which other hosts are alive. */
 export function computeSlot(host: string): number {
-	return createHash('sha256').update(host).digest().readUInt32BE(0) % slots;
+	return createHash('sha256').update(host).digest().readUInt32BE(0) % slotCount;
 }
 
 /** A token above `lastToken` that differs from those of all hosts with another slot. */
 export function makeStorelessToken(lastToken: number, slot: number): number {
-	return (Math.floor(lastToken / slots) + 1) * slots + slot;
+	return (Math.floor(lastToken / slotCount) + 1) * slotCount + slot;
 }
--- a/packages/scheduling/src/load-system.fixture.ts
+++ b/packages/scheduling/src/load-system.fixture.ts
@@ -21,10 +21,10 @@
 export type DataCentre = (typeof dataCentres)[number];
 
 /** Delay of a message between hosts, one way. */
-const linkMs = 1;
+const linkDelayMs = 1;
 /** Delay between a caller and its entry, one way. */
-const callerMs = 3;
-const updateEveryMs = 50;
+const callerDelayMs = 3;
+const updateIntervalMs = 50;
 const queueDefaults = {
 	host: 'kitchen.example',
 	maxAttempts: 3,
@@ -104,8 +104,8 @@
 Log-normal spread: of a job's number of tasks, of run times between jobs (40%) and between tasks of one job (15%), and
 of callers' estimates (half).
 */
-const sigmas = {size: 0.6, job: 0.35, task: 0.15, word: 0.4};
-const mostTasks = 32;
+const sigmas = {size: 0.6, job: 0.35, task: 0.15, declared: 0.4};
+const maxTaskCount = 32;
 
 /** Draws jobs that arrive at random times, in the order of arrival. */
 export function planJobs({
@@ -130,33 +130,34 @@
 	return jobs.toSorted((a, b) => a.at - b.at);
 }
 
-let planned = 0;
+let plannedCount = 0;
 
 function planJob(
 	draw: Draw,
 	kind: JobKind,
-	place: Pick<PlannedJob, 'at' | 'from'>,
+	origin: Pick<PlannedJob, 'at' | 'from'>,
 ): PlannedJob {
-	planned += 1;
+	plannedCount += 1;
 	const medianTasks = kind.meanTasks * Math.exp(-(sigmas.size ** 2) / 2);
 	const count = Math.round(draw.drawLogNormal(medianTasks, sigmas.size));
 	const jobMs = draw.drawLogNormal(kind.medianRunMs, sigmas.job);
 	return {
-		...place,
-		id: `job${planned}`,
+		...origin,
+		id: `job${plannedCount}`,
 		kind,
-		taskMs: Array.from({length: Math.min(mostTasks, Math.max(1, count))}, () =>
-			draw.drawLogNormal(jobMs, sigmas.task),
+		taskMs: Array.from(
+			{length: Math.min(maxTaskCount, Math.max(1, count))},
+			() => draw.drawLogNormal(jobMs, sigmas.task),
 		),
-		declaredMs: draw.drawLogNormal(jobMs, sigmas.word),
+		declaredMs: draw.drawLogNormal(jobMs, sigmas.declared),
 	};
 }
 
 export type LoadSystem = ReturnType<typeof createLoadSystem>;
 
 /**
-Executors are assigned to the services in turn. Every third one has room for three tasks of the usual size, the others
-for two.
+Executors are assigned to the services in turn. Every third one has capacity for three tasks of the usual size, the
+others for two.
 */
 export function createLoadSystem({
 	executorsEach = 11,
@@ -169,7 +170,7 @@
 	);
 	const entries = new Map<DataCentre, EntryJobs>();
 	for (const group of groups) {
-		entries.set(group.name, joinEntry(clock, group, groups));
+		entries.set(group.name, createEntryJobs(clock, group, groups));
 	}
 
 	return {clock, groups, taskMs, entries};
@@ -235,7 +236,7 @@
 }
 
 /** Creates the entry on the host that schedules the group of its data centre, and connects it to all schedulers. */
-function joinEntry(
+function createEntryJobs(
 	clock: VirtualClock,
 	home: Group,
 	groups: readonly Group[],
@@ -252,7 +253,7 @@
 		crashes,
 		send(holder, message) {
 			const target = groups.find((group) => group.name === holder)!;
-			const delayMs = target === home ? 0 : linkMs;
+			const delayMs = target === home ? 0 : linkDelayMs;
 			clock.schedule(delayMs, () => {
 				deliver(target, message);
 			});
@@ -263,7 +264,7 @@
 	});
 
 	function deliver(target: Group, message: HolderMessage): void {
-		const delayMs = target === home ? 0 : linkMs;
+		const delayMs = target === home ? 0 : linkDelayMs;
 		const caller = {
 			key: `${name}.0`,
 			send(answer: Parameters<Entry['send']>[0]) {
@@ -281,21 +282,21 @@
 /**
 Submits the jobs and runs until all are answered, or the last one's time-out has passed; returns what each caller got.
 */
-export async function playJobs(
+export async function runJobs(
 	system: LoadSystem,
 	jobs: readonly PlannedJob[],
 ): Promise<Outcome[]> {
 	const {clock, entries, taskMs} = system;
 	const outcomes: Outcome[] = [];
-	startTicks(system);
+	startTimers(system);
 	await clock.run(500);
 	const startsAt = clock.now;
 	for (const job of jobs) {
 		taskMs.set(job.id, job.taskMs);
-		clock.schedule(job.at + callerMs, () => {
+		clock.schedule(job.at + callerDelayMs, () => {
 			entries.get(job.from)!.submit(makeRequest(job), (answer) => {
 				outcomes.push(
-					describeOutcome(job, answer, clock.now + callerMs - startsAt),
+					describeOutcome(job, answer, clock.now + callerDelayMs - startsAt),
 				);
 			});
 		});
@@ -303,38 +304,38 @@
 
 	const limitAt = startsAt + (jobs.at(-1)?.at ?? 0) + queueDefaults.timeoutMs;
 	while (outcomes.length < jobs.length && clock.now < limitAt) {
-		await clock.run(updateEveryMs);
+		await clock.run(updateIntervalMs);
 	}
 
 	return outcomes;
 }
 
-function startTicks({clock, groups, entries}: LoadSystem): void {
+function startTimers({clock, groups, entries}: LoadSystem): void {
 	const tick = (): void => {
 		for (const group of groups) {
 			group.scheduler.update();
 			entries.get(group.name)!.answerState(group.name);
-			tellState(clock, group, [group], 0);
+			publishState(clock, group, [group], 0);
 			entries.get(group.name)!.update();
 		}
 
-		clock.schedule(updateEveryMs, tick);
+		clock.schedule(updateIntervalMs, tick);
 	};
 
-	const tell = (): void => {
+	const publishToOthers = (): void => {
 		for (const group of groups) {
 			const others = groups.filter((other) => other !== group);
-			tellState(clock, group, others, linkMs);
+			publishState(clock, group, others, linkDelayMs);
 		}
 
-		clock.schedule(stateEveryMs, tell);
+		clock.schedule(stateEveryMs, publishToOthers);
 	};
 
 	clock.schedule(0, tick);
-	clock.schedule(0, tell);
+	clock.schedule(0, publishToOthers);
 }
 
-function tellState(
+function publishState(
 	clock: VirtualClock,
 	{name, scheduler}: Group,
 	listeners: readonly Group[],
@@ -363,7 +364,7 @@
 		count: taskMs.length,
 		demand: {cpu: 14_000, memoryMb: 64, accelerators: 0},
 		declaredMs,
-		timeLeftMs: queueDefaults.timeoutMs - callerMs,
+		timeLeftMs: queueDefaults.timeoutMs - callerDelayMs,
 		requestsBefore: 1,
 	};
 }
--- a/packages/scheduling/src/load.test.ts
+++ b/packages/scheduling/src/load.test.ts
@@ -7,7 +7,7 @@
 import {
 	createLoadSystem,
 	planJobs,
-	playJobs,
+	runJobs,
 	usualKinds,
 	type LoadPlan,
 	type LoadSystem,
@@ -19,13 +19,13 @@
 /** An answer later than this many times the objective is of no use. */
 const uselessFactor = 3;
 
-async function playLoad(
+async function runLoad(
 	draw: Draw,
 	plan: Partial<LoadPlan>,
 	system: LoadSystem = createLoadSystem(),
 ): Promise<Outcome[]> {
 	const jobs = planJobs({draw, spanMs, getLoad: () => 1, ...plan});
-	const outcomes = await playJobs(system, jobs);
+	const outcomes = await runJobs(system, jobs);
 	assert.equal(outcomes.length, jobs.length, 'every caller gets one answer');
 	return outcomes;
 }
@@ -59,7 +59,7 @@
 }
 
 test('at 60% of the capacity nearly all jobs of each kind end in time', async () => {
-	const outcomes = await playLoad(createDraw(1), {getLoad: () => 0.8});
+	const outcomes = await runLoad(createDraw(1), {getLoad: () => 0.8});
 	for (const {queue} of usualKinds) {
 		const share = computeShare(pickQueue(outcomes, queue), isInTime);
 		assertAtLeast(share, 0.985, queue);
@@ -68,7 +68,7 @@
 
 // The load is close to the capacity of the executors, and short jobs with many tasks wait for long ones.
 test('at 90% of the capacity few jobs are late', async () => {
-	const outcomes = await playLoad(createDraw(2), {getLoad: () => 1.2});
+	const outcomes = await runLoad(createDraw(2), {getLoad: () => 1.2});
 	assertAtLeast(computeShare(outcomes, isInTime), 0.92, 'all');
 	assertAtLeast(
 		computeShare(pickQueue(outcomes, 'menu'), isInTime),
@@ -80,7 +80,7 @@
 // For a second and a half the load is three times the usual. Refused callers are answered at once, so that they can
 // submit again; admitted jobs end in time, and right after the burst nearly all jobs do.
 test('in a burst the executors serve what they can, and the rest is refused at once', async () => {
-	const outcomes = await playLoad(createDraw(3), {
+	const outcomes = await runLoad(createDraw(3), {
 		getLoad: (at) => (at > 1000 && at < 2500 ? 3 : 0.7),
 	});
 	const burst = outcomes.filter(({at}) => at > 1000 && at < 2500);
@@ -88,15 +88,15 @@
 	const after = outcomes.filter(({at}) => at > 4000);
 	assertAtLeast(computeShare(after, isInTime), 0.98, 'in time after the burst');
 	const refused = outcomes.filter(({answer}) => answer === 'refused');
-	const soon = computeShare(refused, ({tookMs}) => tookMs < 50);
-	assertAtLeast(soon, 0.85, 'refused within 50 ms');
+	const refusedSoonShare = computeShare(refused, ({tookMs}) => tookMs < 50);
+	assertAtLeast(refusedSoonShare, 0.85, 'refused within 50 ms');
 });
 
 // Nearly all callers come to one data centre, with twice the work that its own executors can do. The other data centres
-// have room for it.
+// have enough free capacity.
 test('jobs that nearly all come to one data centre are served by all data centres', async () => {
 	const draw = createDraw(4);
-	const outcomes = await playLoad(draw, {
+	const outcomes = await runLoad(draw, {
 		getLoad: () => 0.8,
 		drawFrom: () => (draw.drawUniform() < 0.9 ? 'mieres' : 'tineo'),
 	});
@@ -116,7 +116,7 @@
 		}
 	}
 
-	const outcomes = await playLoad(
+	const outcomes = await runLoad(
 		createDraw(5),
 		{
 			kinds: [menu!, lunch!, {...stock!, service: 'stores'}],
@@ -142,7 +142,7 @@
 // long ones run.
 test('urgent short jobs go before long ones at saturation', async () => {
 	const [menu, stock] = usualKinds;
-	const outcomes = await playLoad(createDraw(6), {
+	const outcomes = await runLoad(createDraw(6), {
 		kinds: [menu!, {...stock!, priority: 1, perSecond: 25}],
 		getLoad: () => 1,
 	});
@@ -161,7 +161,7 @@
 // For seconds the load is one and a half times the capacity. Work that is started must not be wasted, and no caller
 // should be kept waiting for an answer that will not come.
 test('at one and a half times the capacity most jobs end in time and few end too late to be of use', async () => {
-	const outcomes = await playLoad(createDraw(7), {getLoad: () => 2});
+	const outcomes = await runLoad(createDraw(7), {getLoad: () => 2});
 	assertAtLeast(computeShare(outcomes, isInTime), 0.6, 'in time');
 	const useless = computeShare(
 		outcomes,
@@ -175,16 +175,20 @@
 // half of them before their objective has passed. A caller that learns it only at its time-out has waited in vain.
 for (const seed of [7, 17, 27, 37, 47, 57]) {
 	test(`at one and a half times the capacity callers are refused early (seed ${seed})`, async () => {
-		const outcomes = await playLoad(createDraw(seed), {getLoad: () => 2});
+		const outcomes = await runLoad(createDraw(seed), {getLoad: () => 2});
 		const unserved = outcomes.filter(({answer}) => answer !== 'completed');
-		const isTold = (factor: number) =>
+		const computeAnsweredShare = (factor: number) =>
 			computeShare(
 				unserved,
 				({tookMs, objectiveMs}) => tookMs <= factor * objectiveMs,
 			);
-		assertAtLeast(isTold(1), 0.5, 'answered before the objective has passed');
 		assertAtLeast(
-			isTold(uselessFactor),
+			computeAnsweredShare(1),
+			0.5,
+			'answered before the objective has passed',
+		);
+		assertAtLeast(
+			computeAnsweredShare(uselessFactor),
 			0.95,
 			'answered while it is useful to submit again',
 		);
--- a/packages/scheduling/src/room.ts
+++ b/packages/scheduling/src/room.ts
@@ -1,11 +1,12 @@
 /**
-Room on an executor: its capacity less what its runs use.
+The free capacity ("room") of an executor: its capacity less what its runs use. Processor time is in thousandths of
+a core.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
 
 export const noDemand: TaskDemand = {cpu: 0, memoryMb: 0, accelerators: 0};
 
-/** The free room of an executor that must get no task: negative, so that not even a demand of zero fits. */
+/** Free capacity of an executor that must get no task: negative, so that not even a demand of zero fits. */
 export const noRoom: TaskDemand = {cpu: -1, memoryMb: -1, accelerators: -1};
 
 export function addDemand(a: TaskDemand, b: TaskDemand): TaskDemand {
@@ -33,7 +34,7 @@
 }
 
 /**
-How many tasks of the same size fit on executors, given the free processor of each; all in thousandths of a core.
+How many tasks of the same size fit on executors, given the free processor time of each.
 
 @example
 countFits([32_000, 10_000], 14_000); // 2
@@ -52,28 +53,29 @@
 }
 
 /**
-Subtracts up to that many tasks from the free processor, each where most is free, as a scheduler would place them.
+Subtracts up to that many tasks from the free processor time, each where most is free, as a scheduler would place
+them.
 */
 export function takeFits(
 	free: readonly number[],
 	cpu: number,
 	tasks: number,
 ): number[] {
-	const left = [...free];
+	const remaining = [...free];
 	for (let i = 0; i < tasks; i += 1) {
 		let best = 0;
-		for (let j = 1; j < left.length; j += 1) {
-			if (left[j]! > left[best]!) {
+		for (let j = 1; j < remaining.length; j += 1) {
+			if (remaining[j]! > remaining[best]!) {
 				best = j;
 			}
 		}
 
-		if ((left[best] ?? 0) < cpu) {
+		if ((remaining[best] ?? 0) < cpu) {
 			break;
 		}
 
-		left[best]! -= cpu;
+		remaining[best]! -= cpu;
 	}
 
-	return left;
+	return remaining;
 }
--- a/packages/scheduling/src/told-ends.ts
+++ b/packages/scheduling/src/sent-ends.ts
@@ -6,9 +6,9 @@
 import {formatTaskKey} from './run.js';
 
 /** How long a sent end is kept: until a broken connection is noticed (`silenceMs`) and opened again. */
-const toldLimitMs = silenceMs + 1000;
+const sentEndLifetimeMs = silenceMs + 1000;
 
-export type ToldEnds = {
+export type SentEnds = {
 	remember: (
 		job: {id: string; entry: {key: string}},
 		end: TaskEnd,
@@ -23,7 +23,7 @@
 	forgetOld: (now: number) => void;
 };
 
-export function createToldEnds(): ToldEnds {
+export function createSentEnds(): SentEnds {
 	const ends = new Map<string, {entry: string; end: TaskEnd; at: number}>();
 	return {
 		remember({id, entry}, end, now) {
@@ -34,14 +34,14 @@
 			});
 		},
 		find({id, entry}, index, placement) {
-			const told = ends.get(formatTaskKey({job: id, index}));
-			const isSame =
-				told?.entry === entry.key && told.end.placement === placement;
-			return isSame ? told.end : undefined;
+			const sent = ends.get(formatTaskKey({job: id, index}));
+			const isSamePlacement =
+				sent?.entry === entry.key && sent.end.placement === placement;
+			return isSamePlacement ? sent.end : undefined;
 		},
 		forgetOld(now) {
 			for (const [key, {at}] of ends) {
-				if (now - at > toldLimitMs) {
+				if (now - at > sentEndLifetimeMs) {
 					ends.delete(key);
 				}
 			}
--- a/packages/scheduling/src/start-log.ts
+++ b/packages/scheduling/src/start-log.ts
@@ -35,26 +35,26 @@
 	let starts = new Map<GroupJob, Start[]>();
 	return {
 		add(job, {index, executor}, {attempt, capacityAgeMs}) {
-			const ofJob = starts.get(job) ?? [];
-			ofJob.push({
+			const jobStarts = starts.get(job) ?? [];
+			jobStarts.push({
 				task: index,
 				attempt,
 				executor: executor ?? '',
 				capacityAgeMs: Math.round(capacityAgeMs),
 			});
-			starts.set(job, ofJob);
+			starts.set(job, jobStarts);
 		},
 		write() {
-			const written = starts;
+			const pendingStarts = starts;
 			starts = new Map();
-			for (const [job, ofJob] of written) {
+			for (const [job, jobStarts] of pendingStarts) {
 				log('tasks started', {
 					job: job.id,
 					entry: job.entry.key,
 					group,
 					token,
 					isMoved: job.movedAt !== undefined,
-					starts: ofJob,
+					starts: jobStarts,
 				});
 			}
 		},
--- a/packages/scheduling/src/timing.ts
+++ b/packages/scheduling/src/timing.ts
@@ -20,16 +20,16 @@
 How long a renewal waits at the executor for the end of a run, at most. Leaves time for two more tries within the
 lease.
 */
-export const renewWaitMs = 200;
+export const maxRenewWaitMs = 200;
 /** Shortest wait of a renewal: limits how often renewals are sent while runs are overdue. */
-export const leastRenewWaitMs = 60;
+export const minRenewWaitMs = 60;
 /**
 A renewal waits for this many times a run's estimate: most runs have ended by then, so their ends need no further
 call.
 */
 export const renewWaitFactor = 1.5;
-/** How often an idle executor is asked for a report, to learn its clock and that it is alive. */
-export const idleLookMs = 1000;
+/** Interval between the reports that an idle executor is asked for, to learn its clock and that it is alive. */
+export const idleReportIntervalMs = 1000;
 /** A claim that was not renewed for this long ends: the answers to four state messages are missing. */
 export const entrySilenceMs = 850;
 /** Time for a claim's stops to be carried out before the lease, limited by that claim, ends. */
@@ -63,15 +63,15 @@
 /** Allowance for two clocks that differ by 2% over the longest time limit here, and for a late timer. */
 export const clockSlackMs = 60;
 /** Longest time-out of a call to an executor: 20 round trips between data centres, and a busy host's pause. */
-export const orderTimeoutMs = 150;
+export const maxCallTimeoutMs = 150;
 /**
 A holder sends its state this often, and at once when the group changes hands. Four states fit into the silence after
 which a holder is replaced.
 */
 export const stateEveryMs = 150;
 /**
-A holder whose state was not received for this long offers no room while other groups have some: two state messages
-are missing.
+A holder whose state was not received for this long offers no free capacity while other groups have some: two state
+messages are missing.
 */
 export const stateDoubtMs = 375;
 /** A holder whose state was not received for this long is sent no new parts: three state messages are missing. */
--- a/packages/scheduling/src/unsettled-orders.ts
+++ b/packages/scheduling/src/unanswered-starts.ts
@@ -9,35 +9,35 @@
 import {type RunName} from './executor-control.js';
 
 /** How long a start is kept: longer than a call can be delayed on its way to the executor. */
-const lateOrderLimitMs = 20_000;
+const lateStartLimitMs = 20_000;
 
-export type UnsettledOrders = {
+export type UnansweredStarts = {
 	readonly isEmpty: boolean;
 	add: (start: RunName, now: number) => void;
 	/** Cancels the starts one by one, by `stop`. False: one stop failed; that start and those after it are kept. */
-	settle: (stop: (start: RunName) => Promise<boolean>) => Promise<boolean>;
+	cancelAll: (stop: (start: RunName) => Promise<boolean>) => Promise<boolean>;
 	forgetOld: (now: number) => void;
 };
 
 /**
 @example
-orders.add({job: 'a1', index: 0, attempt: 1}, now);
-await orders.settle(async (start) => (await control.stopTask(executor, start)).isOk());
+starts.add({job: 'a1', index: 0, attempt: 1}, now);
+await starts.cancelAll(async (start) => (await control.stopTask(executor, start)).isOk());
 */
-export function createUnsettledOrders(): UnsettledOrders {
-	let orders: Array<{start: RunName; at: number}> = [];
-	let settling: Promise<boolean> | undefined;
+export function createUnansweredStarts(): UnansweredStarts {
+	let pending: Array<{start: RunName; at: number}> = [];
+	let ongoingRound: Promise<boolean> | undefined;
 
-	async function stopAll(
+	async function cancelPending(
 		stop: (start: RunName) => Promise<boolean>,
 	): Promise<boolean> {
-		while (orders.length > 0) {
-			const order = orders[0]!;
-			if (!(await stop(order.start))) {
+		while (pending.length > 0) {
+			const first = pending[0]!;
+			if (!(await stop(first.start))) {
 				return false;
 			}
 
-			orders = orders.filter((other) => other !== order);
+			pending = pending.filter((other) => other !== first);
 		}
 
 		return true;
@@ -45,20 +45,20 @@
 
 	return {
 		get isEmpty() {
-			return orders.length === 0;
+			return pending.length === 0;
 		},
 		add({job, index, attempt}, now) {
-			orders.push({start: {job, index, attempt}, at: now});
+			pending.push({start: {job, index, attempt}, at: now});
 		},
 		/** Reports can arrive faster than stops are answered, so calls made during a round share its result. */
-		async settle(stop) {
-			settling ??= stopAll(stop).finally(() => {
-				settling = undefined;
+		async cancelAll(stop) {
+			ongoingRound ??= cancelPending(stop).finally(() => {
+				ongoingRound = undefined;
 			});
-			return settling;
+			return ongoingRound;
 		},
 		forgetOld(now) {
-			orders = orders.filter(({at}) => now - at <= lateOrderLimitMs);
+			pending = pending.filter(({at}) => now - at <= lateStartLimitMs);
 		},
 	};
 }
--- a/packages/scheduling/src/virtual-clock.fixture.ts
+++ b/packages/scheduling/src/virtual-clock.fixture.ts
@@ -27,7 +27,7 @@
 
 	schedule(ms: number, run: () => void): void {
 		const at = this.now + ms;
-		this.#timers.splice(this.#findPlace(at), 0, {at, run});
+		this.#timers.splice(this.#findIndex(at), 0, {at, run});
 	}
 
 	/** Advances the clock by `ms` milliseconds, and runs the timers that become due in order. */
@@ -55,7 +55,7 @@
 	}
 
 	/** Index at which a timer for `at` is inserted: after all timers due at the same time or earlier. */
-	#findPlace(at: number): number {
+	#findIndex(at: number): number {
 		let from = 0;
 		let to = this.#timers.length;
 		while (from < to) {
