--- a/packages/scheduling/src/executor-session.ts
+++ b/packages/scheduling/src/executor-session.ts
@@ -1,9 +1,10 @@
 /**
-One executor, driven by the scheduler that holds its group: starts and stops, the renewal of its
-lease, and the ends of its runs. There is one reader of an executor's ends, this one.
+The session of a scheduler with one executor of its group: sends starts and stops, renews the lease, and reads the
+ends of runs. Nothing else in the process reads an executor's ends.
 
-An executor that answers nothing is silent: it gets nothing new, its lease is no longer renewed, and
-when that has passed its runs are over for certain. What it reports is entered whole (`run-book.ts`) before anybody is told.
+An executor that does not answer is silent: it gets no new starts and its lease is no longer renewed. Once the lease has
+passed, its runs are certain to be over. Each report is entered as a whole (`run-book.ts`) before any callback is
+called.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
 import {
@@ -27,68 +28,76 @@
 import {
 	claimLimitMs,
 	dropStopMs,
-	idleLookMs,
-	leastRenewWaitMs,
+	idleReportIntervalMs,
+	maxRenewWaitMs,
+	minRenewWaitMs,
 	renewWaitFactor,
-	renewWaitMs,
 	stopLimitMs,
 } from './timing.js';
-import {type UnsettledOrders} from './unsettled-orders.js';
+import {type UnansweredStarts} from './unanswered-starts.js';
 
-/** A start under a shorter lease than this comes to nothing, or comes late. */
-const leastLeaseMs = 150;
+/** A start under a shorter lease than this would be lost, as the lease expires first, or be carried out too late. */
+const minLeaseMs = 150;
 
-/** After the executor declined, or said that it has no room, it gets nothing for this long; in the latter case until its room changes, if that is sooner. */
-const declinedRestMs = 150;
+/**
+After a start was refused or could not be delivered, the executor gets none for this long. After a refusal for lack of
+free capacity the pause ends early if that may have changed.
+*/
+const failedStartPauseMs = 150;
 
 export type SessionPorts = {
 	now: () => number;
 	wait: (ms: number, signal: AbortSignal) => Promise<void>;
 	control: ExecutorControl;
 	getToken: () => number;
-	/** The latest moment to which the lease may be renewed, by what runs there. */
+	/** The latest time to which the lease may be renewed, given these runs; this host's clock. */
 	getLeaseCap: (runs: Iterable<Run>) => number;
-	/** Of all executors of the group. */
+	/** Answer times of all executors of the group. */
 	answerTimes: AnswerTimes;
-	/** Starts of an earlier session with this executor among them. */
-	unsettled: UnsettledOrders;
+	/** Unanswered starts sent to this executor, including those of earlier sessions. */
+	unansweredStarts: UnansweredStarts;
 	onRunEnd: (run: Run, outcome: RunOutcome, session: ExecutorSession) => void;
-	/** The executor crashed while these ran there. */
+	/** The executor crashed while these runs were on it. */
 	onCrash: (executor: string, runs: readonly Run[]) => void;
-	/** The executor is silent, and the lease of these has passed. */
+	/** The executor is silent, and the lease of these runs has passed. */
 	onSilence: (executor: string, runs: readonly Run[]) => void;
-	/** The executor answers in the life that was thought over, or its end was planned. */
+	/** The executor has not crashed: the same process answers again, or it left while draining. */
 	onCleared: (executor: string) => void;
-	/** The executor has answered, or has more room than before; once for all ends of one report. */
+	/**
+	The executor has become available, is gone, or its free capacity may have changed; called once for all ends of one
+	report.
+	*/
 	onChange: () => void;
-	/** Another scheduler has the group. */
+	/** Another scheduler holds the group. */
 	onFenced: () => void;
 	log: (message: string, fields: Record<string, unknown>) => void;
 };
 
 export class ExecutorSession implements Candidate {
 	readonly trust = createTrust();
-	/** The executor has listed what runs there to this scheduler. */
+	/** The executor has reported to this scheduler all that runs on it. */
 	isReported = false;
-	/** No answer since then, or orders of before it are not settled; undefined: it answers. */
+	/**
+	Since when the executor does not answer, or has unanswered starts still to be cancelled; undefined: neither holds.
+	*/
 	silentSince: number | undefined;
-	/** This life of the executor is over. */
+	/** This process of the executor has ended. */
 	isGone = false;
 	#executor: Executor;
 	readonly #book = createRunBook();
 	readonly #lease = createExecutorLease();
 	readonly #orders: RunOrders;
-	readonly #crashes: CrashWatch;
+	readonly #crashWatch: CrashWatch;
 	#isListed = true;
-	/** Renewals in a row without an answer. */
-	#missed = 0;
-	/** The executor's clock in the newest report: an older one that comes later tells nothing. */
+	/** Number of renewals in a row without an answer. */
+	#missedRenewals = 0;
+	/** The executor's clock in its newest report. An older report that arrives after it is ignored. */
 	#reportedClockMs = -Infinity;
 	readonly #closing = new AbortController();
-	/** It has refused a start for want of room: until then nothing is known to be free. */
+	/** Until then none of its capacity counts as free: the executor has refused a start for lack of free capacity. */
 	#fullUntil = -Infinity;
-	/** A pause between renewals; undefined: there is none. */
-	#idle: {end: () => void} | undefined;
+	/** The pause between two renewals; undefined: no pause is going on. */
+	#idlePause: {end: () => void} | undefined;
 
 	constructor(
 		executor: Executor,
@@ -96,7 +105,7 @@
 	) {
 		this.#executor = executor;
 		this.#orders = this.#createOrders();
-		this.#crashes = createCrashWatch({
+		this.#crashWatch = createCrashWatch({
 			isDraining: () => this.isDraining,
 			onSilence: (runs) => {
 				ports.onSilence(this.id, runs);
@@ -118,7 +127,9 @@
 		return this.#book.runs;
 	}
 
-	/** It has runs, or ends of runs, that an earlier holder may have started. */
+	/**
+	There are runs, or ends of runs, that an earlier holder of the group may have started and no entry has claimed.
+	*/
 	get hasUnclaimed(): boolean {
 		return this.#book.hasUnclaimed;
 	}
@@ -139,14 +150,14 @@
 		return this.#executor.isDraining;
 	}
 
-	/** May be less than nothing, where capacity has shrunk below what runs. */
+	/** Free capacity. Negative if the capacity has shrunk below what the runs use. */
 	get free(): TaskDemand {
 		return this.ports.now() < this.#fullUntil || this.#hasUnknownRuns()
 			? noRoom
 			: removeDemand(this.#executor.capacity, this.#book.used);
 	}
 
-	/** How long ago this host first read the capacity that it goes by, milliseconds. */
+	/** How long ago this host first read the current capacity, milliseconds. */
 	get capacityAgeMs(): number {
 		return this.ports.now() - this.#executor.saidAt;
 	}
@@ -161,11 +172,13 @@
 		);
 	}
 
-	/** The lease can be extended: no run here has outlived its claim, or the time in which it has to be stopped. */
+	/**
+	The lease can be extended far enough for a start: no run here is past the end of its claim, or the time by which
+	it has to stop.
+	*/
 	get isExtendable(): boolean {
 		return (
-			this.ports.getLeaseCap(this.runs.values()) >
-			this.ports.now() + leastLeaseMs
+			this.ports.getLeaseCap(this.runs.values()) > this.ports.now() + minLeaseMs
 		);
 	}
 
@@ -187,26 +200,28 @@
 		this.#isListed = true;
 	}
 
-	/** Begins to follow the executor; returns at once. */
+	/** Starts to renew the lease in the background; returns at once. */
 	open(): void {
-		this.silentSince = this.ports.unsettled.isEmpty
+		this.silentSince = this.ports.unansweredStarts.isEmpty
 			? undefined
 			: this.ports.now();
 		void this.#repeatRenewals();
 	}
 
-	/** Nothing more is sent. What runs there ends with its lease, or is the next holder's. */
+	/**
+	Ends the session; no more calls are made. Runs go on until their lease ends, or the next holder takes them over.
+	*/
 	close(): void {
-		// The next holder may find neither the executor nor what ran there.
+		// The next holder may never see this executor or its runs, so possible crashes are recorded now.
 		if (this.silentSince !== undefined && !this.isGone) {
-			this.#crashes.noteLapsed([...this.runs.values()]);
+			this.#crashWatch.noteLapsed([...this.runs.values()]);
 		}
 
 		this.#closing.abort();
 		this.ports.control.forgetExecutor(this.#executor);
 	}
 
-	/** Sends a start; the run's end comes by `onRunEnd`. */
+	/** Sends a start; the end of the run is reported by `onRunEnd`. */
 	start(
 		name: RunName,
 		{
@@ -225,20 +240,23 @@
 		};
 		this.#book.enter(run);
 		this.#orders.start(run, spec);
-		this.#idle?.end();
+		this.#idlePause?.end();
 	}
 
-	/** Stops a run that is no longer wanted; its room is free when its end is listed. `stopBy`: when it has to be over. */
+	/**
+	Stops a run; its capacity becomes free when the executor reports its end. `stopBy`: when the run has to be over; this
+	host's clock.
+	*/
 	stop(run: Run, stopBy: number): void {
 		this.#orders.stop(run, stopBy);
-		this.#idle?.end();
+		this.#idlePause?.end();
 	}
 
-	/** The store no longer lists the executor: it counts as gone, so what runs there is stopped. */
+	/** To be called when the store no longer lists the executor: it counts as gone, so its runs are stopped. */
 	stopAll(): void {
 		this.#isListed = false;
 		if (this.silentSince !== undefined) {
-			this.#crashes.noteGone([...this.runs.values()]);
+			this.#crashWatch.noteGone([...this.runs.values()]);
 		}
 
 		const stopBy = this.ports.now() + dropStopMs;
@@ -247,7 +265,10 @@
 		}
 	}
 
-	/** A run of this task that an earlier holder started; from now on it is the caller's. */
+	/**
+	Claims the run of this task that an earlier holder started; from now on the run belongs to the job. Undefined:
+	there is none.
+	*/
 	claimRun(task: RunName, demand: TaskDemand): Run | undefined {
 		const run = this.runs.get(formatTaskKey(task));
 		if (!run?.isFound || run.state === 'stopping') {
@@ -260,7 +281,7 @@
 		return run;
 	}
 
-	/** The end of a run that nobody had claimed when it was listed. */
+	/** Hands out, once, the end of a run of this task that no entry had claimed when the executor reported it. */
 	takeStrayEnd(task: {job: string; index: number}): RunEnd | undefined {
 		return this.#book.takeStrayEnd(task);
 	}
@@ -281,14 +302,14 @@
 				this.#setClock(clockMs);
 			},
 			onFailure: (failure, call) => {
-				this.#receiveOrderFailure(failure, call);
+				this.#handleOrderFailure(failure, call);
 			},
 			onStopped: () => {
-				void this.#look();
+				void this.#fetchReport();
 			},
 			onUnstarted: (run, outcome) => {
 				this.#book.remove(run);
-				this.#tellEnd({run, outcome});
+				this.#reportEnd({run, outcome});
 				this.ports.onChange();
 			},
 			log,
@@ -299,7 +320,7 @@
 		const {signal} = this.#closing;
 		while (!signal.aborted && !this.isGone) {
 			const pause = await this.#renew();
-			this.#dropLapsed();
+			this.#dropLapsedRuns();
 			this.#stopUnclaimed();
 			if (pause > 0 && !signal.aborted) {
 				await this.#waitIdle(pause);
@@ -307,22 +328,24 @@
 		}
 	}
 
-	/** Until the time is over, there is something to do, or the session is closed. */
+	/** Waits until the time is over, a start or stop is sent, or the session is closed. */
 	async #waitIdle(ms: number): Promise<void> {
 		await new Promise<void>((resolve) => {
-			this.#idle = {end: resolve};
+			this.#idlePause = {end: resolve};
 			void this.ports.wait(ms, this.#closing.signal).then(resolve);
 		});
 	}
 
-	/** One renewal, which also brings the ends; gives the pause until the next, milliseconds. */
+	/**
+	Renews the lease once, and handles the ends in the reply; returns the pause until the next renewal, milliseconds.
+	*/
 	async #renew(): Promise<number> {
 		const {control, now} = this.ports;
 		const sentAt = now();
 		const canRenew = this.runs.size > 0 && this.silentSince === undefined;
-		const canWait = canRenew && this.isReported && this.#missed === 0;
+		const canWait = canRenew && this.isReported && this.#missedRenewals === 0;
 		const reply = await control.renewLease(this.#executor, {
-			...this.#makeLook(),
+			...this.#makeReportRequest(),
 			leaseUntilMs: canRenew ? this.#extendLease() : undefined,
 			waitMs: canWait ? this.#computeWait(sentAt) : 0,
 		});
@@ -331,25 +354,33 @@
 		}
 
 		if (reply.isErr()) {
-			return this.#receiveMissed(reply.error);
+			return this.#handleMissedRenewal(reply.error);
 		}
 
-		this.#missed = 0;
-		this.#receiveReport(reply.value, sentAt);
-		return this.runs.size > 0 || reply.value.hasMoreEnds ? 0 : idleLookMs;
+		this.#missedRenewals = 0;
+		this.#handleReport(reply.value, sentAt);
+		return this.runs.size > 0 || reply.value.hasMoreEnds
+			? 0
+			: idleReportIntervalMs;
 	}
 
-	/** What the executor lists now, beside the renewal that waits there: a task waits for it. */
-	async #look(): Promise<void> {
+	/**
+	Asks for a report at once, while a renewal may still wait at the executor: a task is held up until the end is
+	known.
+	*/
+	async #fetchReport(): Promise<void> {
 		const {control, now} = this.ports;
 		const sentAt = now();
-		const reply = await control.renewLease(this.#executor, this.#makeLook());
+		const reply = await control.renewLease(
+			this.#executor,
+			this.#makeReportRequest(),
+		);
 		if (reply.isOk() && !this.#closing.signal.aborted) {
-			this.#receiveReport(reply.value, sentAt);
+			this.#handleReport(reply.value, sentAt);
 		}
 	}
 
-	#makeLook(): LeaseRequest {
+	#makeReportRequest(): LeaseRequest {
 		return {
 			token: this.ports.getToken(),
 			acknowledged: this.#book.acknowledged,
@@ -358,39 +389,42 @@
 		};
 	}
 
-	/** Until the next end is expected: a lost answer is noticed right after, not at the end of a long wait. */
+	/**
+	How long a renewal waits: until the next end is expected, so that a lost answer is noticed right after that;
+	milliseconds.
+	*/
 	#computeWait(now: number): number {
-		let nextMs = renewWaitMs;
+		let waitMs = maxRenewWaitMs;
 		for (const {startedAt, estimateMs} of this.runs.values()) {
 			if (estimateMs !== undefined) {
-				const endsAt = startedAt + renewWaitFactor * estimateMs;
-				nextMs = Math.min(nextMs, endsAt - now);
+				const waitUntil = startedAt + renewWaitFactor * estimateMs;
+				waitMs = Math.min(waitMs, waitUntil - now);
 			}
 		}
 
-		return Math.ceil(Math.max(leastRenewWaitMs, nextMs));
+		return Math.ceil(Math.max(minRenewWaitMs, waitMs));
 	}
 
-	/** One lost answer is asked for again at once; gives the pause until then, milliseconds. */
-	#receiveMissed(failure: CallFailure): number {
-		this.#missed += 1;
-		const isFirst = this.#missed === 1 && failure.code === 'unanswered';
+	/** A first lost answer is asked for again at once; returns the pause until the next renewal, milliseconds. */
+	#handleMissedRenewal(failure: CallFailure): number {
+		this.#missedRenewals += 1;
+		const isFirst = this.#missedRenewals === 1 && failure.code === 'unanswered';
 		if (isFirst && this.isReported && this.silentSince === undefined) {
 			return 0;
 		}
 
-		this.#receiveFailure(failure, 'renewal');
+		this.#handleFailure(failure, 'renewal');
 		return retryMs;
 	}
 
-	/** Extends the lease by what its runs allow; the new end on the executor's clock. */
+	/** Extends the lease as far as its runs allow; returns its new end on the executor's clock. */
 	#extendLease(): number | undefined {
 		const cap = this.ports.getLeaseCap(this.runs.values());
 		return this.#lease.extend(cap, this.ports.now());
 	}
 
-	/** The book has the whole report before others act on any of it. */
-	#receiveReport(report: LeaseReply, sentAt: number): void {
+	/** Enters the whole report in the book before any callback acts on a part of it. */
+	#handleReport(report: LeaseReply, sentAt: number): void {
 		if (report.clockMs < this.#reportedClockMs) {
 			return;
 		}
@@ -414,7 +448,7 @@
 
 		this.isReported ||= isFirst;
 		if (isFirst || this.silentSince !== undefined) {
-			this.#crashes.noteAnswer();
+			this.#crashWatch.noteAnswer();
 		}
 
 		if (this.silentSince !== undefined) {
@@ -426,7 +460,7 @@
 		}
 
 		for (const end of ended) {
-			this.#tellEnd(end);
+			this.#reportEnd(end);
 		}
 
 		if (isFirst || ended.length > 0 || report.ended.length > 0) {
@@ -434,10 +468,10 @@
 		}
 	}
 
-	/** A run that shows up after the executor's first report is a start carried out late. */
+	/** Stops runs that appear after the executor's first report: each is a start that was carried out late. */
 	#stopLateStarts(found: readonly Run[], now: number): void {
 		for (const run of found) {
-			this.ports.log('stopping a run that nobody wants', {
+			this.ports.log('stopping a run whose start was carried out late', {
 				executor: this.id,
 				job: run.job,
 				task: run.index,
@@ -448,15 +482,15 @@
 	}
 
 	/**
-	It answers again. Orders of before may still be carried out: they are made worthless first,
-	and only then may the lease be renewed.
+	To be called when a silent executor answers again. Starts sent before may still be carried out, so they are
+	cancelled first; only then is the lease renewed again.
 	*/
 	async #endSilence(): Promise<void> {
-		const {control, getToken, answerTimes, log, onChange, unsettled} =
+		const {control, getToken, answerTimes, log, onChange, unansweredStarts} =
 			this.ports;
-		const isSettled =
-			unsettled.isEmpty ||
-			(await unsettled.settle(async (start) => {
+		const isNoneLeft =
+			unansweredStarts.isEmpty ||
+			(await unansweredStarts.cancelAll(async (start) => {
 				const reply = await control.stopTask(this.#executor, {
 					...start,
 					token: getToken(),
@@ -464,19 +498,22 @@
 				});
 				return reply.isOk() || reply.error.code === 'outdated';
 			}));
-		if (isSettled && this.silentSince !== undefined) {
+		if (isNoneLeft && this.silentSince !== undefined) {
 			this.silentSince = undefined;
 			log('executor answers again', {executor: this.id});
 			onChange();
 		}
 	}
 
-	/** A run of unknown size takes half of the executor: two tasks is what most executors hold. */
+	/** The demand assumed for a run of unknown size: half the processor, as most executors hold two tasks. */
 	#estimateDemand(): TaskDemand {
 		return {...noDemand, cpu: Math.floor(this.capacity.cpu / 2)};
 	}
 
-	/** What runs there may need more than it is taken for, and the executor would not refuse a start for that. */
+	/**
+	There are runs that may need more than estimated, and the executor would not refuse a start that exceeds its
+	capacity.
+	*/
 	#hasUnknownRuns(): boolean {
 		return (
 			!this.#executor.isGuarded &&
@@ -484,24 +521,24 @@
 		);
 	}
 
-	#receiveOrderFailure(failure: CallFailure, call: 'start' | 'stop'): void {
+	#handleOrderFailure(failure: CallFailure, call: 'start' | 'stop'): void {
 		if (failure.clockMs !== undefined) {
 			this.#setClock(failure.clockMs);
 		}
 
 		const {code} = failure;
-		const isBusy = code !== 'outdated' && code !== 'lease-passed';
-		const restsUntil = this.ports.now() + declinedRestMs;
+		const isExecutorFault = code !== 'outdated' && code !== 'lease-passed';
+		const pausedUntil = this.ports.now() + failedStartPauseMs;
 		if (code === 'no-room') {
-			this.#fullUntil = restsUntil;
-		} else if (call === 'start' && isBusy) {
-			this.trust.restsUntil = restsUntil;
+			this.#fullUntil = pausedUntil;
+		} else if (call === 'start' && isExecutorFault) {
+			this.trust.restsUntil = pausedUntil;
 		}
 
-		this.#receiveFailure(failure, call);
+		this.#handleFailure(failure, call);
 	}
 
-	#receiveFailure(failure: CallFailure, call: string): void {
+	#handleFailure(failure: CallFailure, call: string): void {
 		switch (failure.code) {
 			case 'fenced': {
 				this.ports.onFenced();
@@ -509,7 +546,7 @@
 			}
 
 			case 'replaced': {
-				this.#endLife('another life of the executor answers');
+				this.#markGone('another life of the executor answers');
 				break;
 			}
 
@@ -521,7 +558,7 @@
 			}
 
 			default: {
-				this.ports.log('executor declined', {
+				this.ports.log('executor refused a call', {
 					executor: this.id,
 					call,
 					code: failure.code,
@@ -531,7 +568,7 @@
 		}
 	}
 
-	/** Only renewals judge: a lost order among answered renewals does not make it silent. */
+	/** Only a failed renewal makes the executor silent: a start or stop may be lost while renewals are answered. */
 	#noteSilence({code, message}: CallFailure, call: string): void {
 		if (call === 'renewal' && this.silentSince === undefined) {
 			this.silentSince = this.ports.now();
@@ -544,19 +581,19 @@
 		}
 	}
 
-	/** What ran there is over for certain. */
-	#endLife(reason: string): void {
+	/** Marks the executor as gone: all its runs are certain to be over. */
+	#markGone(reason: string): void {
 		this.isGone = true;
 		this.ports.log('executor is gone', {
 			executor: this.id,
 			reason,
 			runs: this.runs.size,
 		});
-		this.#crashes.noteGone(this.#abandonRuns());
+		this.#crashWatch.noteGone(this.#abandonRuns());
 		this.ports.onChange();
 	}
 
-	#dropLapsed(): void {
+	#dropLapsedRuns(): void {
 		const isLapsed = this.#lease.hasPassed(this.ports.now());
 		if (this.silentSince !== undefined && isLapsed && this.runs.size > 0) {
 			this.ports.log('lease of a silent executor has passed', {
@@ -565,9 +602,9 @@
 			});
 			const lapsed = this.#abandonRuns();
 			if (this.#isListed) {
-				this.#crashes.noteLapsed(lapsed);
+				this.#crashWatch.noteLapsed(lapsed);
 			} else {
-				this.#crashes.noteGone(lapsed);
+				this.#crashWatch.noteGone(lapsed);
 			}
 
 			this.ports.onChange();
@@ -589,24 +626,24 @@
 		this.#lease.setClock(clockMs, this.ports.now());
 	}
 
-	/** Gives the runs that the book had. */
+	/** Removes all runs and reports them as lost; returns them. Starts without an answer are kept, to be cancelled. */
 	#abandonRuns(): Run[] {
 		const lost = [...this.runs.values()];
 		for (const run of lost) {
 			this.#book.remove(run);
 			if (run.acceptedAt === undefined && !run.isFound) {
-				this.ports.unsettled.add(run, this.ports.now());
+				this.ports.unansweredStarts.add(run, this.ports.now());
 			}
 		}
 
 		for (const run of lost) {
-			this.#tellEnd({run, outcome: 'lost'});
+			this.#reportEnd({run, outcome: 'lost'});
 		}
 
 		return lost;
 	}
 
-	#tellEnd({run, outcome}: {run: Run; outcome: RunOutcome}): void {
+	#reportEnd({run, outcome}: {run: Run; outcome: RunOutcome}): void {
 		if (outcome === 'lost' && !this.isGone && this.silentSince === undefined) {
 			this.ports.log('run is neither listed nor ended', {
 				executor: this.id,
--- a/packages/scheduling/src/executor-set.ts
+++ b/packages/scheduling/src/executor-set.ts
@@ -1,63 +1,66 @@
 /**
-The executors of a group as their scheduler follows them: one session each, opened when the store lists the executor
-and closed when it is no longer listed and nothing runs there.
+The executors of a group, each with one session. A session is opened when the store lists the executor, and closed
+when the executor is no longer listed and nothing runs there.
 */
 import {createAnswerTimes} from './answer-times.js';
 import {ExecutorSession, type SessionPorts} from './executor-session.js';
 import {type Executor} from './executor.js';
 import {formatTaskKey, type Run} from './run.js';
 import {
-	createUnsettledOrders,
-	type UnsettledOrders,
-} from './unsettled-orders.js';
+	createUnansweredStarts,
+	type UnansweredStarts,
+} from './unanswered-starts.js';
 
 export type ExecutorSet = {
 	readonly sessions: ReadonlyMap<string, ExecutorSession>;
-	/** The group's executors as the store lists them now. */
+	/**
+	Takes the group's executors as the store lists them now: opens sessions for new ones, stops all runs on unlisted
+	ones.
+	*/
 	setListed: (executors: readonly Executor[]) => void;
-	/** Those that may be sent a start now. */
+	/** Sessions of listed executors that may be sent a start now. */
 	listOpen: () => ExecutorSession[];
-	/** Every executor has said what runs there. */
+	/** Every executor has reported what runs there or is gone, and there is at least one. */
 	isReported: () => boolean;
-	/** A run of the task on any of them, also one that is being stopped. */
+	/** A run of the task on any of the executors, including one that is being stopped. */
 	findRun: (task: {
 		job: string;
 		index: number;
 	}) => {run: Run; session: ExecutorSession} | undefined;
-	/** A task of the job runs on any of them, also one that is being stopped. */
+	/** Whether a task of the job runs on any of the executors; a run that is being stopped counts. */
 	hasRunOf: (job: string) => boolean;
-	/** Closes the sessions that are over; to be called from time to time. */
+	/** Closes the sessions of unlisted executors without runs; to be called periodically. */
 	closeUnlisted: (now: number) => void;
 	closeAll: () => void;
 };
 
 export function createExecutorSet(
-	ports: Omit<SessionPorts, 'unsettled' | 'answerTimes'>,
+	ports: Omit<SessionPorts, 'unansweredStarts' | 'answerTimes'>,
 ): ExecutorSet {
 	const sessions = new Map<string, ExecutorSession>();
 	const answerTimes = createAnswerTimes();
-	/** By executor, also of those whose session is closed. */
-	const unsettledOrders = new Map<string, UnsettledOrders>();
-	let listed: ReadonlySet<string> = new Set();
+	/** By executor id, including executors whose session is closed. */
+	const unansweredStarts = new Map<string, UnansweredStarts>();
+	let listedIds: ReadonlySet<string> = new Set();
 
-	function open(executor: Executor): void {
+	function openSession(executor: Executor): void {
 		const {id} = executor;
-		const unsettled = unsettledOrders.get(id) ?? createUnsettledOrders();
-		unsettledOrders.set(id, unsettled);
+		const starts = unansweredStarts.get(id) ?? createUnansweredStarts();
+		unansweredStarts.set(id, starts);
 		const session = new ExecutorSession(executor, {
 			...ports,
 			answerTimes,
-			unsettled,
+			unansweredStarts: starts,
 		});
 		sessions.set(id, session);
 		session.open();
 	}
 
-	function forgetSettled(now: number): void {
-		for (const [id, orders] of unsettledOrders) {
-			orders.forgetOld(now);
-			if (orders.isEmpty && !sessions.has(id)) {
-				unsettledOrders.delete(id);
+	function forgetOldStarts(now: number): void {
+		for (const [id, starts] of unansweredStarts) {
+			starts.forgetOld(now);
+			if (starts.isEmpty && !sessions.has(id)) {
+				unansweredStarts.delete(id);
 			}
 		}
 	}
@@ -65,25 +68,28 @@
 	return {
 		sessions,
 		setListed(executors) {
-			listed = new Set(executors.map(({id}) => id));
+			listedIds = new Set(executors.map(({id}) => id));
 			for (const executor of executors) {
 				const session = sessions.get(executor.id);
 				if (session) {
 					session.update(executor);
 				} else {
-					open(executor);
+					openSession(executor);
 				}
 			}
 
-			// The next holder would not know of them: what runs there could be started a second time.
+			// The next holder would not learn of an unlisted executor, and could start the tasks that run there a
+			// second time.
 			for (const [id, session] of sessions) {
-				if (!listed.has(id)) {
+				if (!listedIds.has(id)) {
 					session.stopAll();
 				}
 			}
 		},
 		listOpen: () =>
-			[...sessions.values()].filter(({id, isOpen}) => isOpen && listed.has(id)),
+			[...sessions.values()].filter(
+				({id, isOpen}) => isOpen && listedIds.has(id),
+			),
 		isReported: () =>
 			sessions.size > 0 &&
 			[...sessions.values()].every(
@@ -106,13 +112,13 @@
 			),
 		closeUnlisted(now) {
 			for (const [id, session] of sessions) {
-				if (!listed.has(id) && session.runs.size === 0) {
+				if (!listedIds.has(id) && session.runs.size === 0) {
 					sessions.delete(id);
 					session.close();
 				}
 			}
 
-			forgetSettled(now);
+			forgetOldStarts(now);
 		},
 		closeAll() {
 			for (const session of sessions.values()) {
--- a/packages/scheduling/src/executor-trust.ts
+++ b/packages/scheduling/src/executor-trust.ts
@@ -1,60 +1,64 @@
 /**
-How far an executor is trusted, from how its tasks end: what it fails, lets stand still or slows
-down costs jobs, however good its own word is.
+How far an executor is trusted, judged by how its runs end. An executor may report itself healthy and still fail
+tasks, hang or be slow, which makes jobs fail or come late.
 
-- After `doubtFailures` failures or overdue runs in a row it is doubted: one task at a time, and only
-  when no other executor has room.
-- After each further failure it rests, longer each time. A task that fails there uses up one of
-  few attempts, and an executor that fails at once has room all the time.
-- One good end at a usual speed clears it.
+- After `doubtThreshold` failures or overdue runs in a row the executor is doubted: it gets one task at a time, and only
+  when no other executor has free capacity.
+- After each further failure it gets no task for a while, longer each time. A failing run uses up one of the
+  task's few attempts, and an executor that fails its runs at once always has free capacity, so it would attract tasks.
+- One successful run at the usual speed ends the doubt.
 */
 
-/** Failures, or overdue runs, in a row after which an executor is doubted: single ones are the tasks' own. */
-export const doubtFailures = 2;
-/** First rest after a failure in doubt; doubled with each. */
-const restMs = 400;
-/** Longest rest: a fault of a few seconds is over by then, and it is tried again. */
-const restCapMs = 3200;
-/** An executor that takes more than this many times as long as the others counts as slow. */
+/** Failures, or overdue runs, in a row after which an executor is doubted: single ones are put down to the task. */
+export const doubtThreshold = 2;
+/** First pause after a failure of a doubted executor; doubled with each further failure. */
+const firstPauseMs = 400;
+/** Longest pause: after it, an executor whose fault lasted a few seconds is tried again. */
+const longestPauseMs = 3200;
+/** An executor whose runs take more than this many times the expected time counts as slow. */
 export const slowFactor = 1.7;
-/** Weight of one more run in the slowness. */
+/** Weight of a new run in the moving average of the slowness. */
 const slownessWeight = 0.35;
-/** While it gets nothing to do, half of an executor's slowness is forgotten in this time. */
+/** While no run ends on an executor, its measured slowness decays towards 1 with this half-life. */
 const slownessHalfLifeMs = 2500;
 
 export type ExecutorTrust = {
 	failuresInRow: number;
-	/** Runs now overdue, or moved away as overdue since the last good end. */
-	overdue: number;
-	/** Run times there against those expected; 1: as fast as the others. */
+	/** Runs that became overdue, including those moved elsewhere, since the last success at the usual speed. */
+	overdueRuns: number;
+	/** Moving average of actual by expected run time; 1: as fast as expected. */
 	slowness: number;
-	/** No start before this time. */
+	/** The executor gets no start before this time; this host's clock. */
 	restsUntil: number;
-	/** When slowness was last learned. */
-	learnedAt: number;
+	/** When `slowness` was last updated; this host's clock. */
+	slownessUpdatedAt: number;
 };
 
 export function createTrust(): ExecutorTrust {
 	return {
 		failuresInRow: 0,
-		overdue: 0,
+		overdueRuns: 0,
 		slowness: 1,
 		restsUntil: 0,
-		learnedAt: 0,
+		slownessUpdatedAt: 0,
 	};
 }
 
-export function isDoubted({failuresInRow, overdue}: ExecutorTrust): boolean {
-	return failuresInRow >= doubtFailures || overdue >= doubtFailures;
+export function isDoubted({
+	failuresInRow,
+	overdueRuns,
+}: ExecutorTrust): boolean {
+	return failuresInRow >= doubtThreshold || overdueRuns >= doubtThreshold;
 }
 
-/** Slowness now: what was learned some time ago counts less. */
+/** The slowness at `now`, decayed since it was last updated. */
 export function computeSlowness(
-	{slowness, learnedAt}: ExecutorTrust,
+	{slowness, slownessUpdatedAt}: ExecutorTrust,
 	now: number,
 ): number {
-	const share = 0.5 ** ((now - learnedAt) / slownessHalfLifeMs);
-	return 1 + (slowness - 1) * share;
+	const remainingShare =
+		0.5 ** ((now - slownessUpdatedAt) / slownessHalfLifeMs);
+	return 1 + (slowness - 1) * remainingShare;
 }
 
 export function recordSuccess(
@@ -62,30 +66,38 @@
 	{runMs, expectedMs, now}: {runMs: number; expectedMs: number; now: number},
 ): void {
 	const ratio = runMs / Math.max(1, expectedMs);
-	const before = computeSlowness(trust, now);
-	trust.slowness = before + slownessWeight * (ratio - before);
-	trust.learnedAt = now;
+	const formerSlowness = computeSlowness(trust, now);
+	trust.slowness = formerSlowness + slownessWeight * (ratio - formerSlowness);
+	trust.slownessUpdatedAt = now;
 	trust.failuresInRow = 0;
 	if (ratio < slowFactor) {
-		trust.overdue = 0;
+		trust.overdueRuns = 0;
 	}
 }
 
 export function recordFailure(trust: ExecutorTrust, now: number): void {
 	trust.failuresInRow += 1;
-	trust.restsUntil = computeRest(trust.failuresInRow, trust.restsUntil, now);
+	trust.restsUntil = computePauseEnd(
+		trust.failuresInRow,
+		trust.restsUntil,
+		now,
+	);
 }
 
-/** A run there is overdue. */
+/** To be called once for each run that becomes overdue. */
 export function recordOverdue(trust: ExecutorTrust, now: number): void {
-	trust.overdue += 1;
-	trust.restsUntil = computeRest(trust.overdue, trust.restsUntil, now);
+	trust.overdueRuns += 1;
+	trust.restsUntil = computePauseEnd(trust.overdueRuns, trust.restsUntil, now);
 }
 
-/** The end of the rest after so many bad ends in a row. */
-function computeRest(inRow: number, restsUntil: number, now: number): number {
-	const beyond = inRow - doubtFailures;
-	return beyond < 0
+/** When the pause ends after `inRow` failures or overdue runs in a row. */
+function computePauseEnd(
+	inRow: number,
+	restsUntil: number,
+	now: number,
+): number {
+	const aboveThreshold = inRow - doubtThreshold;
+	return aboveThreshold < 0
 		? restsUntil
-		: now + Math.min(restCapMs, restMs * 2 ** beyond);
+		: now + Math.min(longestPauseMs, firstPauseMs * 2 ** aboveThreshold);
 }
--- a/packages/scheduling/src/told-ends.ts
+++ b/packages/scheduling/src/sent-ends.ts
@@ -1,20 +1,20 @@
 /**
-Ends that a scheduler has told entries lately. A connection may have broken before one arrived; the
-entry then sends its part again, and is told the same end instead of the task being started anew.
+Ends that a scheduler has sent to entries recently. If the connection breaks before an end arrives, the entry sends
+its part again. The scheduler then repeats the end instead of starting the task again.
 */
 import {silenceMs, type TaskEnd} from '@gentianshift/protocol';
 import {formatTaskKey} from './run.js';
 
-/** How long an end that was told is remembered: until a silent connection is noticed and made anew. */
-const toldLimitMs = silenceMs + 1000;
+/** How long a sent end is kept: until a broken connection is noticed (`silenceMs`) and opened again. */
+const sentEndLifetimeMs = silenceMs + 1000;
 
-export type ToldEnds = {
+export type SentEnds = {
 	remember: (
 		job: {id: string; entry: {key: string}},
 		end: TaskEnd,
 		now: number,
 	) => void;
-	/** The end of this placement of a task, told to the same entry. */
+	/** The end of this placement of the task, if it was sent to the same entry. */
 	find: (
 		job: {id: string; entry: {key: string}},
 		index: number,
@@ -23,7 +23,7 @@
 	forgetOld: (now: number) => void;
 };
 
-export function createToldEnds(): ToldEnds {
+export function createSentEnds(): SentEnds {
 	const ends = new Map<string, {entry: string; end: TaskEnd; at: number}>();
 	return {
 		remember({id, entry}, end, now) {
@@ -34,14 +34,14 @@
 			});
 		},
 		find({id, entry}, index, placement) {
-			const told = ends.get(formatTaskKey({job: id, index}));
-			const isSame =
-				told?.entry === entry.key && told.end.placement === placement;
-			return isSame ? told.end : undefined;
+			const sent = ends.get(formatTaskKey({job: id, index}));
+			const isSamePlacement =
+				sent?.entry === entry.key && sent.end.placement === placement;
+			return isSamePlacement ? sent.end : undefined;
 		},
 		forgetOld(now) {
 			for (const [key, {at}] of ends) {
-				if (now - at > toldLimitMs) {
+				if (now - at > sentEndLifetimeMs) {
 					ends.delete(key);
 				}
 			}
