--- a/packages/host/src/scheduling/faulty/begin-fault.fixture.ts
+++ b/packages/host/src/scheduling/faulty/begin-fault.fixture.ts
@@ -1,5 +1,5 @@
 /**
-Begins the faults of a plan in a running system.
+Starts the faults of a plan in the simulated system, and ends them.
 */
 import {
 	type FakeExecutors,
@@ -11,7 +11,7 @@
 import {type FaultyNetwork} from './faulty-network.fixture.js';
 import {type FaultyStore, type StoreMood} from './faulty-store.fixture.js';
 
-/** What goes wrong with an executor's orders; each rule counts the orders it has seen. */
+/** Calls to an executor that fail; `seen` counts the calls that were made while the fault lasts. */
 export type OrderRule = Extract<PlannedFault, {kind: 'orders'}> & {
 	seen: number;
 };
@@ -24,15 +24,15 @@
 	network: FaultyNetwork;
 	store: FaultyStore;
 	executors: FakeExecutors;
-	/** How the store treats a host; it is well with those that are not listed. */
+	/** How the store treats a host; it answers hosts that are not in the map normally. */
 	moods: Map<FaultyHost, StoreMood>;
 	orderRules: Set<OrderRule>;
 	shrinkRules: Set<ShrinkRule>;
-	/** Callers whose connections broke come again. */
+	/** Has the callers of these jobs, whose connections broke, send them again; `at-once`: without the usual delay. */
 	resend: (jobs: readonly string[], when?: 'at-once') => void;
 };
 
-/** Begins a fault; gives what ends it. */
+/** Starts a fault; the returned function ends it. */
 export function beginFault(
 	fault: PlannedFault,
 	system: FaultySystem,
@@ -216,7 +216,7 @@
 	};
 }
 
-/** Of several shares at a time the smallest counts. */
+/** While several of these faults overlap on one executor, the smallest share applies. */
 function shrinkExecutor(
 	fault: ShrinkRule,
 	{executors, store, shrinkRules}: FaultySystem,
@@ -241,5 +241,5 @@
 }
 
 function doNothing(): void {
-	// Not of interest here.
+	// These faults end by themselves.
 }
--- a/packages/host/src/scheduling/faulty/fault-plan.fixture.ts
+++ b/packages/host/src/scheduling/faulty/fault-plan.fixture.ts
@@ -1,6 +1,9 @@
 /**
-What happens in one play of a small system: which jobs come, and what goes wrong when. Drawn by fast-check, which makes
-a plan that breaks a promise smaller until nothing can be left out.
+Plans for simulations of a small system: which jobs callers send, and which faults occur when. fast-check generates the
+plans at random, and shrinks a plan that violates an invariant until nothing can be left out.
+
+A job's entry host is the host that accepted it from the caller. A group is the executors of one data centre; its holder is the
+host that currently schedules it.
 */
 import fc from 'fast-check';
 
@@ -15,54 +18,57 @@
 	host: number;
 	tasks: number;
 	runMs: number;
-	/** What the objective allows beyond the run: with little, tasks are given back. */
+	/** What the latency objective allows beyond the run time; when it is short, schedulers return tasks to the entry host. */
 	allowanceMs: number;
-	/** It comes as the first request on its caller's connection; if not, only copies that are sent again at once do. */
+	/** The job is the first request on its caller's connection; otherwise only a copy that is sent again at once is. */
 	isOnNewConnection?: boolean;
-	/** What each task takes, thousandths of a core. */
+	/** Demand of each task, thousandths of a core. */
 	cpu?: number;
-	/** Its first task crashes each executor so long after its start. */
+	/** The first task of the job crashes each executor that runs it this long after the start. */
 	crashMs?: number;
 };
 
-/** Acts from `at` for `forMs`, milliseconds from the begin of the play. */
+/** Starts at `at`, milliseconds after the groups have got their first holders, and lasts for `forMs`. */
 export type PlannedFault = {at: number; forMs: number} & (
 	| {kind: 'kill' | 'freeze' | 'plan-stop'; host: number}
-	/** Connections of the host's callers break, which it reads so much later. */
+	/** Connections of the host's callers break; the host notices `noticeMs` later. */
 	| {kind: 'reset-callers'; host: number; noticeMs?: number}
-	/** The host stands still, and its steady clock with it: afterwards it has no trace of that time but its time of day. */
+	/** The host's machine is suspended, and its monotonic clock stops: afterwards only the wall clock and the boot time show it. */
 	| {kind: 'suspend'; host: number}
-	/** The host dies, and its callers send again at once. */
+	/** The host dies, and its callers send their jobs again at once. */
 	| {kind: 'kill-requests'; host: number}
 	/**
-	Connections of the host's callers break under their requests. The callers send again at once, over new connections; the host
-	reads of it only afterwards, and its own connections to others are broken for `forMs`.
+	Connections of the host's callers break while requests are pending. The callers send them again at once, over new connections;
+	the host notices `noticeMs` later, and its connections to other hosts are broken for `forMs`.
 	*/
 	| {kind: 'reset-requests'; host: number; noticeMs: number}
-	/** Whoever holds the first group then is to be stopped: another host takes it at once. */
+	/** The holder of the first group at that time prepares to stop, so another host takes the group at once. */
 	| {kind: 'hand-over'}
-	/** Connections between two hosts break, and none is made. */
+	/** Connections between two hosts break, and no new one can be made. */
 	| {kind: 'cut'; host: number; peer: number}
-	/** Messages one way arrive only afterwards; the connection stays open. */
+	/** Messages from `host` to `peer` arrive only when the fault ends; the connections stay open. */
 	| {kind: 'hold-up'; host: number; peer: number}
-	/** The same on one connection only, the one that the host has made to its peer: what it asks there, or what it is answered. */
+	/**
+	The same on one connection only, the one that `host` opened to `peer`: either the messages of `host` (`asked`) or those of
+	`peer` (`answered`).
+	*/
 	| {
 			kind: 'hold-up-connection';
 			host: number;
 			peer: number;
 			way: 'asked' | 'answered';
 	  }
-	/** The connection that the host has made to its peer carries nothing more; both notice by its silence. */
+	/** The connection that `host` opened to `peer` delivers nothing more; both hosts notice only because nothing arrives. */
 	| {kind: 'silent-connection'; host: number; peer: number}
-	/** The store turns a host away, or loses the answers of what it does for it. */
+	/** The store refuses the host's calls, or carries them out and loses its answers. */
 	| {kind: 'store'; host: number; how: 'refuses' | 'loses-answers'}
-	/** The store has no entry of the executor. */
+	/** The executor's record is missing from the store. */
 	| {kind: 'unlist'; executor: number}
-	/** The executor can't be reached. */
+	/** The executor can't be reached: calls get no answer and have no effect. */
 	| {kind: 'silence'; executor: number}
-	/** The executor has this share of its room, and says so. */
+	/** The executor has only this share of its CPU capacity, and publishes that. */
 	| {kind: 'shrink'; executor: number; share: number}
-	/** Each `every`-th order to the executor fares badly. */
+	/** Each `every`-th call to the executor fails: it is lost, only its answer is lost, or it gets no answer and takes effect `lateMs` later. */
 	| {
 			kind: 'orders';
 			executor: number;
@@ -75,17 +81,17 @@
 export type FaultPlan = {
 	jobs: PlannedJob[];
 	faults: PlannedFault[];
-	/** Executors start whatever they are told to, also without room for it. */
+	/** Executors accept starts that exceed their capacity. */
 	isUnguarded?: boolean;
-	/** Runs go on so long after a stop was answered. */
+	/** A run goes on for this long after its stop was answered. */
 	stopMs?: number;
-	/** How long a crashed executor is away. */
+	/** Time until a crashed executor is back. */
 	backMs?: number;
 };
 
-/** Jobs come and faults begin within this span. */
+/** Jobs arrive and faults start within this time. */
 const spanMs = 2400;
-/** Faults begin near one another: what breaks a promise is mostly two of them that meet. */
+/** Faults start in clusters, this far apart: it is mostly two faults at nearly the same time that violate an invariant. */
 const beatMs = 800;
 const spreadMs = 250;
 const host = fc.nat(hostCount - 1);
@@ -157,7 +163,7 @@
 	lateMs: fc.integer({min: 200, max: 4000}),
 });
 
-/** Also where all faults of a plan follow one another, links are made anew before their groups count as out of reach. */
+/** Short enough that connections are restored before groups count as unreachable, even if all faults of a plan follow one another. */
 const resetRequests = fc.record({
 	at: fc.nat(spanMs),
 	forMs: fc.integer({min: 0, max: 45}),
@@ -172,7 +178,7 @@
 	host,
 });
 
-/** A group that changes hands while orders are lost is where most goes wrong. */
+/** The weights favour takeovers of a group while calls to executors are lost: most violations occur there. */
 const fault: fc.Arbitrary<PlannedFault> = fc.oneof(
 	{weight: 3, arbitrary: handOver},
 	{weight: 3, arbitrary: orderFault},
@@ -199,7 +205,7 @@
 	{minLength: 1, maxLength: 8},
 );
 
-/** Callers that send again at once, while groups change hands and orders are lost; hosts that live are in reach of one another. */
+/** Callers send jobs again at once while groups change holders and calls are lost; hosts that are alive can reach one another. */
 export const resendPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: resendJobs,
 	faults: fc.array(
@@ -226,7 +232,7 @@
 	peer: host,
 });
 
-/** The same where hosts die as well, or lose the connection to one another. */
+/** As `resendPlans`; in addition, hosts die or lose the connections to one another. */
 export const lossPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: resendJobs,
 	faults: fc.array(
@@ -242,7 +248,7 @@
 	),
 });
 
-/** What hosts tell the entry is held up, while the entry is heard; now and then another pair. */
+/** Mostly delays messages from another host to the entry host, while those of the entry host arrive; at times between another pair. */
 function drawHeldUpLink(entry: number) {
 	return fc.record({
 		at: fc.nat(spreadMs),
@@ -253,7 +259,7 @@
 	});
 }
 
-/** Callers on new connections, one after the other: their entry says something to all groups all the time. */
+/** Callers on new connections, one after another, so that their entry host keeps sending messages to all groups. */
 function drawBusyJobs(entry: number) {
 	return fc.integer({min: 80, max: 400}).map((everyMs) =>
 		Array.from({length: Math.floor(spanMs / everyMs)}, (_, i) => ({
@@ -279,7 +285,7 @@
 	return fc.array(longJob, {minLength: 1, maxLength: 2});
 }
 
-/** Long jobs beside many short ones at one entry, while what hosts tell one another is held up, mostly one way. */
+/** Long jobs and many short ones at one entry host, while messages between hosts are delayed, mostly in one direction. */
 export const heldUpPlans: fc.Arbitrary<FaultPlan> = host.chain((entry) =>
 	fc.record({
 		jobs: fc
@@ -298,7 +304,7 @@
 	}),
 );
 
-/** Machines that are suspended while hosts die, and while links between hosts break or hold messages up. */
+/** Machines are suspended while hosts die and connections between hosts break or delay messages. */
 export const suspendPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: fc.array(job, {minLength: 1, maxLength: 6}),
 	faults: fc.array(
@@ -330,7 +336,7 @@
 	}),
 );
 
-/** Single connections that hold messages up or fall silent, while the others between the same hosts go on. */
+/** Single connections delay messages or go silent, while the other connection between the same hosts works. */
 export const connectionPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: fc.array(job, {minLength: 1, maxLength: 6}),
 	faults: fc.array(
@@ -345,7 +351,7 @@
 	),
 });
 
-/** Room that has shrunk counts some seconds later, so these plans are longer. */
+/** Reduced capacity is enforced only some seconds later, so these plans are longer. */
 const shrinkSpanMs = 9000;
 const atInShrink = fc.nat(shrinkSpanMs);
 
@@ -397,7 +403,7 @@
 	stopMs: fc.constantFrom(0, 40),
 });
 
-/** Large tasks run when the group changes hands, and what comes in the next moments finds a holder that knows little of them. */
+/** Large tasks run while the group changes holders, and the jobs that arrive right after meet a holder that does not know of all runs yet. */
 const takeoverPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: fc
 		.tuple(
@@ -451,7 +457,7 @@
 	stopMs: fc.constantFrom(0, 40),
 });
 
-/** Executors whose room shrinks and grows while groups change hands, hosts die and orders are lost or late. */
+/** The capacity of executors shrinks and grows while groups change holders, hosts die, and calls are lost or late. */
 export const shrinkPlans: fc.Arbitrary<FaultPlan> = fc.oneof(
 	slowShrinkPlans,
 	takeoverPlans,
@@ -469,7 +475,7 @@
 
 const backMs = fc.integer({min: 500, max: 4000});
 
-/** Jobs that crash their executors beside sound ones, while groups change hands, hosts die and orders are lost. */
+/** Jobs that crash their executors run beside jobs that don't, while groups change holders, hosts die and calls are lost. */
 export const crashPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: fc
 		.tuple(
@@ -492,7 +498,7 @@
 	backMs,
 });
 
-/** The same with nothing else that goes wrong. */
+/** As `crashPlans`, with one job that crashes its executors and no other fault. */
 export const plainCrashPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: fc
 		.tuple(
--- a/packages/host/src/scheduling/faulty/faulty-host.fixture.ts
+++ b/packages/host/src/scheduling/faulty/faulty-host.fixture.ts
@@ -1,6 +1,6 @@
 /**
-A host of the product on a virtual clock: its roles, its handlers and its lists of executors as they are, its surroundings
-faked. Its process is killed and started anew, or frozen.
+A host on a virtual clock. Its roles, message handlers and executor lists are the production code; the store, the executors, the
+network and the clocks are simulated. Its process can be killed and restarted, frozen, or suspended with its machine.
 */
 import {type Hello, type MeshHandlers} from '@gentianshift/protocol';
 import {
@@ -21,7 +21,7 @@
 export type HostPlace = {
 	dataCentre: string;
 	host: string;
-	/** Its time of day is so many milliseconds ahead of the others'. */
+	/** Milliseconds by which its wall clock is ahead of the virtual clock. */
 	clockAheadMs: number;
 };
 
@@ -30,9 +30,9 @@
 	store: CoordinationStore;
 	executors: ExecutorSource;
 	control: ExecutorControl;
-	/** Executors refuse what they have no room for. */
+	/** Executors refuse starts that exceed their capacity. */
 	isGuarded: boolean;
-	/** Hosts of the data centre, in the order of takeover. */
+	/** Keys of the data centre's hosts, in the order in which they may take over the group. */
 	listOrder: () => readonly string[];
 	peers: Omit<Peers, 'listOrder' | 'getCores'>;
 	log: (message: string, fields: Record<string, unknown>) => void;
@@ -50,13 +50,13 @@
 	#process: Process | undefined;
 	#incarnation = 0;
 	#frozenUntil = 0;
-	/** When the machine was suspended; undefined: its steady clock runs. */
+	/** When the machine was suspended; undefined: its monotonic clock runs. */
 	#suspendedAt: number | undefined;
-	/** Time that its steady clock has not counted before. */
+	/** Total of earlier suspensions, which the monotonic clock has not counted. */
 	#uncountedMs = 0;
-	/** What came while the host was frozen, and is read when it thaws. */
+	/** Work that arrived while the host was frozen; it runs when the freeze ends. */
 	#unread: Array<() => void> = [];
-	/** Jobs whose callers wait on a connection to this host, and what tells it that the connection has broken. */
+	/** By job id: callers that wait on a connection to this host; the function tells the host that the connection broke. */
 	readonly #callers = new Map<string, () => void>();
 
 	constructor(
@@ -91,7 +91,7 @@
 		return `p${this.#incarnation}`;
 	}
 
-	/** Runs work in the host's process: now, or when it thaws. */
+	/** Runs work in the host's process, once the host is not frozen; drops it if that process ends before. */
 	run(work: (process: Process) => void): void {
 		const process = this.#process;
 		if (!process) {
@@ -118,7 +118,7 @@
 		this.#repeatUpdates(process);
 	}
 
-	/** The process is gone at once; gives the jobs whose callers wait for it. */
+	/** Ends the process without any shutdown; returns the ids of the jobs whose callers were waiting on it. */
 	kill(): string[] {
 		const process = this.#process;
 		this.#process = undefined;
@@ -143,7 +143,7 @@
 		});
 	}
 
-	/** Frozen, and the machine's steady clock does not count the time. */
+	/** Freezes the host, and stops the machine's monotonic clock for that time. */
 	suspend(forMs: number): void {
 		const {clock} = this.surroundings;
 		this.#suspendedAt ??= clock.now;
@@ -173,7 +173,7 @@
 		});
 	}
 
-	/** Callers' connections break, which the host reads so much later; gives the jobs that were on them. */
+	/** Breaks the callers' connections; the host notices `noticeMs` later. Returns the ids of the jobs that were on them. */
 	resetCallers(noticeMs = 0): string[] {
 		const leaving = [...this.#callers.values()];
 		const ids = this.#takeCallers();
@@ -188,7 +188,7 @@
 		return ids;
 	}
 
-	/** The host takes no role any more, or does again. */
+	/** Announces that the host is about to stop and leaves its roles to others, or withdraws that. */
 	planStop(isStopping: boolean): void {
 		this.run(({roles}) => {
 			roles.isStopping = isStopping;
@@ -196,7 +196,7 @@
 		});
 	}
 
-	/** The machine's steady clock. */
+	/** The machine's monotonic clock, which stops during a suspension. */
 	#readSteadyClock(): number {
 		return this.#toSteadyTime(this.surroundings.clock.now);
 	}
@@ -215,7 +215,7 @@
 		return this.surroundings.clock.now < this.#frozenUntil;
 	}
 
-	/** Resolves when the process goes on; never, once it is gone. */
+	/** Resolves once the host is not frozen; never, if the process has ended by then. */
 	async #waitAwake(incarnation: number): Promise<void> {
 		while (this.#isFrozen()) {
 			await this.surroundings.clock.wait(
@@ -225,7 +225,7 @@
 
 		if (!this.#process || this.#incarnation !== incarnation) {
 			await new Promise(() => {
-				// A process that is gone goes no further.
+				// Work of a process that has ended must not continue.
 			});
 		}
 	}
@@ -286,7 +286,7 @@
 				clock.schedule(0, work);
 			},
 			onAnswer() {
-				// Told to the caller.
+				// The simulated caller gets the answer through `submit`.
 			},
 			log,
 		});
@@ -353,5 +353,5 @@
 }
 
 function doNothing(): void {
-	// Not of interest here.
+	// Stands in for the host's parts that the simulation leaves out.
 }
--- a/packages/host/src/scheduling/faulty/faulty-network.fixture.ts
+++ b/packages/host/src/scheduling/faulty/faulty-network.fixture.ts
@@ -1,5 +1,6 @@
 /**
-Connections between hosts on a virtual clock: one each way, in order, a millisecond; they break, and hold messages up.
+Connections between hosts on a virtual clock. Each host opens one to each other host, so a pair of hosts has two. Messages arrive in
+order, after a millisecond; connections can break, go silent, or delay messages.
 */
 import {
 	silenceMs,
@@ -12,19 +13,21 @@
 import {type FaultyHost} from './faulty-host.fixture.js';
 
 const linkMs = 1;
-/** Connections are looked at this often, and dialled anew after this long. */
+/** Connections are checked for silence this often, so a silent one may be noticed this much later. */
 const noticeMs = 180;
+/** Delay before a connection that was closed for silence is opened again. */
 const redialMs = 100;
 
-/** From the host that made a connection, or to it. */
+/** `asked`: sent by the host that opened the connection; `answered`: sent to it. */
 type Way = 'asked' | 'answered';
 
 export class FaultyNetwork {
 	readonly clock: VirtualClock;
 	readonly #hosts: readonly FaultyHost[];
 	readonly #connections = new Map<string, Connection>();
+	/** By pair of hosts: how many faults keep them disconnected now. */
 	readonly #cuts = new Map<string, number>();
-	/** Until when what one host sends another is held up. */
+	/** By pair of sender and receiver: messages arrive no earlier than this. */
 	readonly #heldUntil = new Map<string, number>();
 
 	constructor(clock: VirtualClock, hosts: readonly FaultyHost[]) {
@@ -32,7 +35,7 @@
 		this.#hosts = hosts;
 	}
 
-	/** Connects all pairs that can be connected now. */
+	/** Opens the missing connections between hosts that are alive and not cut off from each other. */
 	connect(): void {
 		for (const from of this.#hosts) {
 			for (const to of this.#hosts) {
@@ -48,7 +51,7 @@
 		}
 	}
 
-	/** Breaks both connections of a pair, or mends the way for new ones. */
+	/** Breaks both connections of a pair, or allows new ones. */
 	cut(a: FaultyHost, b: FaultyHost, isCut: boolean): void {
 		for (const key of [makePair(a, b), makePair(b, a)]) {
 			this.#cuts.set(key, (this.#cuts.get(key) ?? 0) + (isCut ? 1 : -1));
@@ -60,7 +63,7 @@
 		this.connect();
 	}
 
-	/** Breaks all connections of a host, or mends the way for new ones. */
+	/** Breaks all connections of a host, or allows new ones. */
 	cutOff(host: FaultyHost, isCut: boolean): void {
 		for (const other of this.#hosts) {
 			if (other !== host) {
@@ -81,7 +84,7 @@
 		this.#connections.get(makePair(from, to))?.holdUp(way, until);
 	}
 
-	/** The connection is lost without a word, and made anew when that has been noticed. */
+	/** The connection delivers nothing more; it is closed and opened again once the silence is noticed. */
 	silence(from: FaultyHost, to: FaultyHost): void {
 		const connection = this.#connections.get(makePair(from, to));
 		if (!connection?.isOpen) {
@@ -123,11 +126,11 @@
 
 class Connection {
 	isOpen = false;
-	/** Nothing gets through any more. */
+	/** It stays open, and delivers nothing more. */
 	isSilent = false;
 	readonly link: Link;
 	readonly session: Session;
-	/** When the last message of each way arrives: none overtakes another. */
+	/** When the last message in each direction arrives: no later one may overtake it. */
 	#askedAt = 0;
 	#repliedAt = 0;
 
@@ -152,7 +155,7 @@
 		};
 	}
 
-	/** No message of that way that is sent from now on arrives before then. */
+	/** Messages that are sent in that direction from now on arrive no earlier than `until`. */
 	holdUp(way: Way, until: number): void {
 		if (way === 'asked') {
 			this.#askedAt = Math.max(this.#askedAt, until);
@@ -183,7 +186,7 @@
 		}
 	}
 
-	/** Gives when the message arrives, unless the connection breaks before. */
+	/** Returns when the message arrives, unless the connection breaks before. */
 	#send(
 		message: Message,
 		from: FaultyHost,
--- a/packages/host/src/scheduling/faulty/faulty-store.fixture.ts
+++ b/packages/host/src/scheduling/faulty/faulty-store.fixture.ts
@@ -1,5 +1,5 @@
 /**
-The platform's store on a virtual clock: the keys of groups, and the executors' entries as it lists them to each host.
+The platform's store on a virtual clock: the keys that name each group's holder, and the executors' records as hosts list them.
 */
 import {err, errAsync, ok, ResultAsync} from 'neverthrow';
 import {
@@ -13,9 +13,9 @@
 import {type ExecutorSource} from '../surroundings.js';
 
 const answerMs = 4;
-/** A call without an answer is given up after this long. */
+/** Time-out of a call that gets no answer. */
 const callLimitMs = 600;
-/** How old a read may be that may be stale. */
+/** Age of what a read with `mayBeStale` returns. */
 const staleMs = 2000;
 const firstRevision = 100;
 
@@ -24,11 +24,11 @@
 export class FaultyStore {
 	readonly #items = new Map<string, StoreItem>();
 	#revision = firstRevision;
-	/** Executors without an entry now, and for how many reasons. */
+	/** By executor id: how many faults hide its record now. */
 	readonly #unlisted = new Map<string, number>();
-	/** Lists of before: since when each held. */
+	/** Every list so far, with the time from which it was current. */
 	readonly #lists: Array<{since: number; words: ExecutorWord[]}> = [];
-	/** What each executor says of itself now. */
+	/** The current record of each executor, by id. */
 	readonly #words = new Map<string, ExecutorWord>();
 
 	constructor(
@@ -42,7 +42,7 @@
 		this.#noteList();
 	}
 
-	/** An executor has written its entry. */
+	/** Adds an executor's record, as if it had just written it. */
 	addExecutor(executor: Executor): void {
 		this.#enter(executor);
 		this.#noteList();
@@ -54,7 +54,7 @@
 		this.#noteList();
 	}
 
-	/** The executor says that it has so much room. */
+	/** Updates the capacity in the executor's record. */
 	setCapacity(id: string, capacity: ExecutorWord['capacity']): void {
 		const word = this.#words.get(id)!;
 		const sequence = (word.sequence ?? 0) + 1;
@@ -62,7 +62,7 @@
 		this.#noteList();
 	}
 
-	/** The store as one host sees it. */
+	/** Creates one host's client of the store. */
 	createView(getMood: () => StoreMood): {
 		store: CoordinationStore;
 		executors: ExecutorSource;
@@ -104,7 +104,7 @@
 				endLease: unused,
 				getAnsweredAt: () => answeredAt,
 				async close() {
-					// Nothing is open.
+					// There is no connection to close.
 				},
 			},
 			executors: {
--- a/packages/host/src/scheduling/faulty/no-claim-kept.test.ts
+++ b/packages/host/src/scheduling/faulty/no-claim-kept.test.ts
@@ -1,6 +1,6 @@
 /**
-No task runs on where its entry has taken it away, whatever else reaches its former scheduler: drawn plans over real hosts on a virtual
-clock, as in `no-task-twice`, in which messages are held up while hosts have much to say.
+No task keeps running at a scheduler after its entry host has taken it away, whatever other messages still reach that scheduler.
+Random plans as in `no-task-twice`, in which messages are delayed while hosts send many of them.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -9,10 +9,10 @@
 import {playPlans} from './play-plans.fixture.js';
 
 const planCount = 600;
-// Played before the tests begin: within a test the runner follows each promise, which takes three times as long.
+// Runs before the tests start: within a test, the test runner tracks each promise, which takes three times as long.
 const played = await playPlans(heldUpPlans, planCount);
 
-// Guards against words for other jobs, or late ones, that keep a task alive at a holder which its entry has given up on.
-test('no task runs twice when messages between hosts are held up', () => {
+// Guards against messages for other jobs, or late messages, that keep a task running at a holder which the entry host has given up on.
+test('no task runs twice at a time when messages between hosts are delayed', () => {
 	assert.ok(!played.failed, fc.defaultReportMessage(played));
 });
--- a/packages/host/src/scheduling/faulty/no-copy-lost.test.ts
+++ b/packages/host/src/scheduling/faulty/no-copy-lost.test.ts
@@ -1,6 +1,6 @@
 /**
-No task runs in two copies of its job at a time, where hosts die or lose each other while callers send again at once: drawn plans over
-real hosts on a virtual clock, as in `no-copy-twice`.
+No task runs in two copies of its job at a time when hosts die, or lose the connection to each other, while callers send jobs again at
+once. Random plans as in `no-copy-twice`.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -9,21 +9,21 @@
 import {playPlan} from './play-plan.fixture.js';
 import {playPlans} from './play-plans.fixture.js';
 
-/** Plans with hosts that die take longer than others; a test file may take two minutes beside other work. */
+/** Plans in which hosts die take longer than others; a test file may take two minutes while other work runs on the machine. */
 const planCount = 800;
-// Played before the tests begin: within a test the runner follows each promise, which takes three times as long.
+// Runs before the tests start: within a test, the test runner tracks each promise, which takes three times as long.
 const played = await playPlans(lossPlans, planCount);
 
-// Guards against a copy that is placed although another may run where no scheduler in reach can tell.
-test('no task runs twice when callers of hosts that are lost send again at once', () => {
+// Guards against a copy that is placed although another copy may run, and no scheduler that can be reached knows whether it does.
+test('no task runs twice at a time when the callers of lost hosts send their jobs again at once', () => {
 	assert.ok(!played.failed, fc.defaultReportMessage(played));
 });
 
-/** Plans that once broke a promise, each with what went wrong. */
+/** Plans that once violated an invariant, each with the situation that led to it. */
 const brokenOnce: ReadonlyArray<{cause: string; plan: FaultPlan}> = [
 	{
 		cause:
-			'a job was recalled from an entry that waited for the end of a copy itself',
+			'a job was recalled from an entry host that was itself waiting for another copy to end',
 		plan: {
 			jobs: [
 				{at: 0, host: 2, tasks: 1, runMs: 1500, allowanceMs: 60},
@@ -36,7 +36,8 @@
 		},
 	},
 	{
-		cause: 'an entry died while the holder was out of reach of its successor',
+		cause:
+			'an entry host died while the next entry host could not reach the holder',
 		plan: {
 			jobs: [{at: 0, host: 0, tasks: 1, runMs: 1500, allowanceMs: 60}],
 			faults: [
@@ -47,7 +48,8 @@
 		},
 	},
 	{
-		cause: 'an entry died long after the holder had been cut off',
+		cause:
+			'an entry host died long after the next entry host had been cut off from the holder',
 		plan: {
 			jobs: [{at: 0, host: 0, tasks: 1, runMs: 1500, allowanceMs: 60}],
 			faults: [
@@ -58,7 +60,8 @@
 		},
 	},
 	{
-		cause: 'an entry that had just started knew neither group nor copy',
+		cause:
+			'an entry host that had just started knew neither the group nor the other copy',
 		plan: {
 			jobs: [
 				{at: 0, host: 2, tasks: 1, runMs: 1500, allowanceMs: 60},
@@ -72,7 +75,8 @@
 		},
 	},
 	{
-		cause: 'nobody had a connection to the first entry when it was asked',
+		cause:
+			'no host had a connection to the first entry host when its copy was asked for',
 		plan: {
 			jobs: [
 				{at: 0, host: 2, tasks: 1, runMs: 1500, allowanceMs: 60},
@@ -87,7 +91,8 @@
 		},
 	},
 	{
-		cause: 'a connection that came back made a dead holder forgotten',
+		cause:
+			'a re-established connection made a host forget a holder that had died',
 		plan: {
 			jobs: [
 				{at: 0, host: 2, tasks: 1, runMs: 1500, allowanceMs: 60},
@@ -101,7 +106,8 @@
 		},
 	},
 	{
-		cause: 'an entry that had just started did not know a holder that had died',
+		cause:
+			'an entry host that had just started did not know of a holder that had died',
 		plan: {
 			jobs: [
 				{at: 0, host: 0, tasks: 1, runMs: 1500, allowanceMs: 60},
@@ -115,7 +121,8 @@
 		},
 	},
 	{
-		cause: 'an entry took a job again while its word to drop it was lost',
+		cause:
+			'an entry host accepted a job again after its message to drop the earlier copy was lost',
 		plan: {
 			jobs: [
 				{at: 1801, host: 1, tasks: 1, runMs: 60, allowanceMs: 1000},
@@ -137,7 +144,7 @@
 	},
 	{
 		cause:
-			'an entry died that had tasks at a later holder than the one its successor knew',
+			'an entry host died whose tasks were at a later holder than the one that the next entry host knew',
 		plan: {
 			jobs: [
 				{at: 0, host: 3, tasks: 1, runMs: 1500, allowanceMs: 60},
@@ -155,7 +162,7 @@
 ];
 
 for (const {cause, plan} of brokenOnce) {
-	test(`promises hold where ${cause}`, async () => {
+	test(`all invariants hold when ${cause}`, async () => {
 		assert.deepEqual(await playPlan(plan), []);
 	});
 }
--- a/packages/host/src/scheduling/faulty/no-copy-twice.test.ts
+++ b/packages/host/src/scheduling/faulty/no-copy-twice.test.ts
@@ -1,6 +1,6 @@
 /**
-No task runs in two copies of its job at a time, where callers whose connection breaks under their request send it again at once:
-drawn plans over real hosts on a virtual clock, as in `no-task-twice`.
+No task runs in two copies of its job at a time when a caller's connection breaks during its request and the caller sends the job
+again at once. Random plans as in `no-task-twice`.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -9,19 +9,19 @@
 import {playPlan} from './play-plan.fixture.js';
 import {playPlans} from './play-plans.fixture.js';
 
-// Played before the tests begin: within a test the runner follows each promise, which takes three times as long.
+// Runs before the tests start: within a test, the test runner tracks each promise, which takes three times as long.
 const played = await playPlans(resendPlans);
 
-// Guards against two copies of a job at two entries that hand its tasks to two groups at the same time.
-test('no task runs twice when callers whose connection breaks send again at once', () => {
+// Guards against two entry hosts with a copy of the same job that hand its tasks to two groups at the same time.
+test('no task runs twice at a time when callers whose connection breaks send their jobs again at once', () => {
 	assert.ok(!played.failed, fc.defaultReportMessage(played));
 });
 
-/** Plans that once broke a promise, each with what went wrong. */
+/** Plans that once violated an invariant, each with the situation that led to it. */
 const brokenOnce: ReadonlyArray<{cause: string; plan: FaultPlan}> = [
 	{
 		cause:
-			'two entries handed the copies of a job to two groups, as its caller sent it again at once',
+			'a caller sent its job again at once, and two entry hosts handed the copies to two groups',
 		plan: {
 			jobs: [
 				{at: 0, host: 3, tasks: 1, runMs: 60, allowanceMs: 60},
@@ -32,7 +32,7 @@
 	},
 	{
 		cause:
-			'a group counted as out of reach although the connection to its holder was back',
+			'a group counted as unreachable although the connection to its holder was back',
 		plan: {
 			jobs: [
 				{at: 0, host: 0, tasks: 1, runMs: 1500, allowanceMs: 60},
@@ -46,7 +46,7 @@
 	},
 	{
 		cause:
-			'a new holder started an earlier copy that only the former one knew to be replaced',
+			'a new holder started an earlier copy, and only the previous holder knew that it had been replaced',
 		plan: {
 			jobs: [
 				{at: 0, host: 0, tasks: 1, runMs: 1500, allowanceMs: 60},
@@ -60,7 +60,8 @@
 		},
 	},
 	{
-		cause: 'a holder died just before it was asked for other copies',
+		cause:
+			'a holder died just before it was asked to stop other copies of a job',
 		plan: {
 			jobs: [
 				{at: 0, host: 2, tasks: 2, runMs: 60, allowanceMs: 3000},
@@ -74,7 +75,7 @@
 	},
 	{
 		cause:
-			'a holder that did not know its successor was asked for other copies',
+			'a previous holder that did not know of its successor was asked to stop other copies of a job',
 		plan: {
 			jobs: [{at: 2163, host: 1, tasks: 1, runMs: 600, allowanceMs: 1000}],
 			faults: [
@@ -88,7 +89,7 @@
 ];
 
 for (const {cause, plan} of brokenOnce) {
-	test(`promises hold where ${cause}`, async () => {
+	test(`all invariants hold when ${cause}`, async () => {
 		assert.deepEqual(await playPlan(plan), []);
 	});
 }
--- a/packages/host/src/scheduling/faulty/no-fleet-crashed.test.ts
+++ b/packages/host/src/scheduling/faulty/no-fleet-crashed.test.ts
@@ -1,5 +1,6 @@
 /**
-Tasks that crash each executor that starts them, beside sound ones: drawn plans over real hosts on a virtual clock, as in `no-task-twice`.
+A task that crashes every executor that runs it is not started over and over, and jobs beside it don't fail. Random plans as in
+`no-task-twice`.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -8,22 +9,22 @@
 import {playPlan} from './play-plan.fixture.js';
 import {playPlans} from './play-plans.fixture.js';
 
-// Played before the tests begin: within a test the runner follows each promise, which takes three times as long.
+// Runs before the tests start: within a test, the test runner tracks each promise, which takes three times as long.
 const played = await playPlans(crashPlans, 300);
 const playedPlain = await playPlans(plainCrashPlans, 200);
 
-// Guards against a crashing task that is started over and over by way of takeovers, moved parts and callers that come again.
-test('no task is started three times more after three executors have crashed under it', () => {
+// Guards against takeovers, jobs that move to another holder, and callers that send again, each of which could start such a task anew.
+test('no task is started more than twice after three executors have crashed under it', () => {
 	assert.ok(!played.failed, fc.defaultReportMessage(played));
 });
 
-// Guards against sound jobs that are taken for the one that crashes their executors.
-test('no sound job fails beside one that crashes its executors', () => {
+// Guards against blaming jobs that ran beside the task that crashed the executor.
+test('no job fails because it runs beside a job that crashes executors', () => {
 	assert.ok(!playedPlain.failed, fc.defaultReportMessage(playedPlain));
 });
 
-// Guards against a former holder that starts tasks on an executor that came after its successor had listed them.
-test('a holder that hears of its successor starts nothing more', async () => {
+// Guards against a previous holder that starts tasks on an executor which came after its successor had listed the executors.
+test('a holder that learns of its successor starts no further task', async () => {
 	const broken = await playPlan({
 		jobs: [
 			{
@@ -42,8 +43,8 @@
 	assert.deepEqual(broken, []);
 });
 
-// Guards against crashes that count for nobody as their group changes hands before they are known.
-test('silent executors are told of as a group changes hands', async () => {
+// Guards against crashes that no holder counts because the group changes holders before they are recognised as crashes.
+test('silent executors are reported when a group changes holders', async () => {
 	const broken = await playPlan({
 		jobs: [
 			{at: 779, host: 1, tasks: 1, runMs: 600, allowanceMs: 60, crashMs: 50},
--- a/packages/host/src/scheduling/faulty/no-start-over-capacity.test.ts
+++ b/packages/host/src/scheduling/faulty/no-start-over-capacity.test.ts
@@ -1,6 +1,6 @@
 /**
-No start brings an executor that doesn't guard its capacity over it, whatever is lost, late, frozen or killed while capacity shrinks
-and grows.
+No start exceeds the capacity of an executor that does not check it itself, whatever is lost, late, frozen or killed while capacities
+shrink and grow. Random plans as in `no-task-twice`.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -9,11 +9,11 @@
 import {playPlan} from './play-plan.fixture.js';
 import {playPlans} from './play-plans.fixture.js';
 
-// Played before the test begins: within a test the runner follows each promise, which takes three times as long.
+// Runs before the tests start: within a test, the test runner tracks each promise, which takes three times as long.
 const played = await playPlans(shrinkPlans, 400);
 
-// Guards against starts over a capacity that has shrunk, beside runs that are being stopped, or beside runs of an earlier holder.
-test('no plan of faults and changing room brings an executor over its capacity', () => {
+// Guards against starts that exceed a reduced capacity, or don't count runs that are being stopped or that an earlier holder started.
+test('no start exceeds the capacity of an executor while capacities change and faults occur', () => {
 	assert.ok(!played.failed, fc.defaultReportMessage(played));
 });
 
@@ -24,7 +24,7 @@
 	faults: [{at: 0, forMs: 100, kind: 'shrink', executor: 0, share: 0}],
 };
 
-// Guards against a play that ends before the callers of late jobs are answered.
-test('promises hold where a job comes long after the last fault', async () => {
+// Guards against a simulation that ends before the callers of late jobs are answered.
+test('all invariants hold when a job arrives long after the last fault', async () => {
 	assert.deepEqual(await playPlan(lateJob), []);
 });
--- a/packages/host/src/scheduling/faulty/no-task-twice-connections.test.ts
+++ b/packages/host/src/scheduling/faulty/no-task-twice-connections.test.ts
@@ -1,6 +1,7 @@
 /**
-No task runs twice at a time where a single connection between two hosts holds messages up or falls silent, while the others
-between them go on: a holder's state and the ends that it tells take different ones. Real hosts on a virtual clock.
+No task runs twice at a time when one connection between two hosts delays messages or goes silent, while the other works. A holder
+sends its state over the connection that it opened, and the ends of tasks over the one that the entry host opened. Random plans as in
+`no-task-twice`.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -10,16 +11,17 @@
 import {playPlans} from './play-plans.fixture.js';
 
 const planCount = 600;
-// Played before the tests begin: within a test the runner follows each promise, which takes three times as long.
+// Runs before the tests start: within a test, the test runner tracks each promise, which takes three times as long.
 const played = await playPlans(connectionPlans, planCount);
 
-// Guards against words that come in another order than they were said.
-test('no task runs twice when single connections hold messages up', () => {
+// Guards against messages that arrive in another order than they were sent in.
+test('no task runs twice at a time when single connections delay messages', () => {
 	assert.ok(!played.failed, fc.defaultReportMessage(played));
 });
 
-// Guards against a task that is placed elsewhere for a former holding's word, on a host that has the group again and runs the task.
-test('a task that an earlier holding gave back is not placed beside its run under a later holding of the same host', async () => {
+// A host loses its group, takes it again and runs the task; then its message from the first term, which returned the task, arrives late.
+// The entry host must not act on it by placing the task elsewhere.
+test('a task that a holder returned in an earlier term is not placed elsewhere while the same host runs it in a later term', async () => {
 	const broken = await playPlan({
 		jobs: [
 			{at: 100, host: 0, tasks: 4, runMs: 600, allowanceMs: 1000},
--- a/packages/host/src/scheduling/faulty/no-task-twice-suspended.test.ts
+++ b/packages/host/src/scheduling/faulty/no-task-twice-suspended.test.ts
@@ -1,6 +1,6 @@
 /**
-No task runs twice at a time where machines are suspended: their steady clocks don't count that time, so what they hold
-looks as fresh afterwards as it was before. Real hosts on a virtual clock, as in `no-task-twice`.
+No task runs twice at a time when machines are suspended. Their monotonic clocks don't count that time, so claims and leases
+look as fresh afterwards as before. Random plans as in `no-task-twice`.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -10,18 +10,18 @@
 import {playPlans} from './play-plans.fixture.js';
 
 const planCount = 600;
-// Played before the tests begin: within a test the runner follows each promise, which takes three times as long.
+// Runs before the tests start: within a test, the test runner tracks each promise, which takes three times as long.
 const played = await playPlans(suspendPlans, planCount);
 
-// Guards against claims and leases that are reckoned on a clock which stands still while others wait for their end.
-test('no task runs twice when machines are suspended', () => {
+// Guards against claims and leases whose end is computed from a clock that stops, while other hosts wait for that end on running clocks.
+test('no task runs twice at a time when machines are suspended', () => {
 	assert.ok(!played.failed, fc.defaultReportMessage(played));
 });
 
 const plans: ReadonlyArray<{guardsAgainst: string; plan: FaultPlan}> = [
 	{
 		guardsAgainst:
-			'a holder that starts a task anew after its suspension, and its entry that moves the task by its own clock',
+			'a holder starts a task again after its suspension, and the entry host has moved the task by its own clock',
 		plan: {
 			jobs: [
 				{at: 1400, host: 1, tasks: 1, runMs: 1500, allowanceMs: 60},
@@ -32,7 +32,7 @@
 	},
 	{
 		guardsAgainst:
-			'the same where nobody else can take the group, however long the suspension',
+			'the same happens and no other host can take the group, however long the suspension lasts',
 		plan: {
 			jobs: [{at: 100, host: 1, tasks: 6, runMs: 1500, allowanceMs: 1000}],
 			faults: [
@@ -43,7 +43,7 @@
 	},
 	{
 		guardsAgainst:
-			'a run that outlives its entry by the time that its scheduler was suspended, while the caller has come again',
+			'a run outlives its entry host by as long as its scheduler was suspended, and the caller has sent the job again',
 		plan: {
 			jobs: [
 				{at: 0, host: 0, tasks: 1, runMs: 60, allowanceMs: 60},
@@ -60,7 +60,7 @@
 	},
 	{
 		guardsAgainst:
-			'an entry on the holder’s own host that renews its claims after a freeze, before it has read that the caller has left',
+			'an entry host that is also the holder renews its claims after a freeze, before it notices that the caller has left',
 		plan: {
 			jobs: [{at: 100, host: 0, tasks: 1, runMs: 1500, allowanceMs: 1000}],
 			faults: [
@@ -73,8 +73,7 @@
 ];
 
 for (const {guardsAgainst, plan} of plans) {
-	// Guards against what its name says.
-	test(`no task runs twice: ${guardsAgainst}`, async () => {
+	test(`no task runs twice at a time when ${guardsAgainst}`, async () => {
 		assert.deepEqual(await playPlan(plan), []);
 	});
 }
--- a/packages/host/src/scheduling/faulty/no-task-twice.test.ts
+++ b/packages/host/src/scheduling/faulty/no-task-twice.test.ts
@@ -1,6 +1,7 @@
 /**
-No task runs twice at a time, whatever is lost, late, frozen, killed or cut off together: the real entries, schedulers, sessions,
-holdings and handlers of four hosts on a virtual clock, with plans of jobs and faults drawn by fast-check.
+No task runs twice at a time, whatever combination of messages and hosts is lost, late, frozen, killed or cut off. Four hosts run the
+production code of entry hosts, schedulers, executor sessions, takeovers and message handlers on a virtual clock, under plans of jobs
+and faults that fast-check generates at random.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -9,18 +10,19 @@
 import {playPlan} from './play-plan.fixture.js';
 import {playPlans} from './play-plans.fixture.js';
 
-// Played before the tests begin: within a test the runner follows each promise, which takes three times as long.
+// Runs before the tests start: within a test, the test runner tracks each promise, which takes three times as long.
 const played = await playPlans(faultPlans);
 
-// When a promise is broken, the plan is made as small as it can be and printed.
-test('no plan of faults makes a task run twice, a refusal untrue or an answer partial', () => {
+// If an invariant is violated, the plan is shrunk as far as possible and printed.
+test('no plan of faults makes a task run twice at a time, a refused job run, or an incomplete job count as completed', () => {
 	assert.ok(!played.failed, fc.defaultReportMessage(played));
 });
 
-/** Plans that once broke a promise, each with what went wrong. */
+/** Plans that once violated an invariant, each with the situation that led to it. */
 const brokenOnce: ReadonlyArray<{cause: string; plan: FaultPlan}> = [
 	{
-		cause: 'the word to drop a job was lost with the connection to its holder',
+		cause:
+			'the message to drop a job was lost with the connection to the holder',
 		plan: {
 			jobs: [
 				{at: 0, host: 1, tasks: 1, runMs: 2500, allowanceMs: 1000},
@@ -31,7 +33,7 @@
 	},
 	{
 		cause:
-			'a new holder acted on the first line of a report that its first look had missed',
+			'a new holder, whose first query of an executor was lost, acted on the first line of the later report alone',
 		plan: {
 			jobs: [
 				{at: 562, host: 1, tasks: 1, runMs: 1500, allowanceMs: 1000},
@@ -52,7 +54,7 @@
 		},
 	},
 	{
-		cause: 'an executor was silent in the moment after its group changed hands',
+		cause: 'an executor was silent right after its group had changed holders',
 		plan: {
 			jobs: [{at: 0, host: 0, tasks: 2, runMs: 2500, allowanceMs: 1000}],
 			faults: [
@@ -64,7 +66,7 @@
 	},
 	{
 		cause:
-			'a holder that woke up took the word of an entry that had given up on it for one that had waited',
+			'a holder that resumed after a freeze treated an entry host that had given up on it as one that had kept waiting',
 		plan: {
 			jobs: [
 				{at: 0, host: 2, tasks: 1, runMs: 2500, allowanceMs: 60},
@@ -81,7 +83,7 @@
 	},
 	{
 		cause:
-			'words for other jobs reached a holder that the entry counted as silent',
+			'messages for other jobs reached a holder that the entry host considered silent',
 		plan: {
 			jobs: [
 				{at: 0, host: 1, tasks: 1, runMs: 2200, allowanceMs: 1000},
@@ -99,7 +101,7 @@
 	},
 	{
 		cause:
-			'a holder whose machine was suspended took what entries had granted it before for fresh',
+			'a holder whose machine was suspended treated claims that entry hosts had renewed before as fresh',
 		plan: {
 			jobs: [{at: 0, host: 1, tasks: 1, runMs: 2500, allowanceMs: 60}],
 			faults: [{at: 0, forMs: 901, kind: 'suspend', host: 0}],
@@ -108,7 +110,7 @@
 ];
 
 for (const {cause, plan} of brokenOnce) {
-	test(`promises hold where ${cause}`, async () => {
+	test(`all invariants hold when ${cause}`, async () => {
 		assert.deepEqual(await playPlan(plan), []);
 	});
 }
--- a/packages/host/src/scheduling/faulty/no-token-twice.test.ts
+++ b/packages/host/src/scheduling/faulty/no-token-twice.test.ts
@@ -1,13 +1,14 @@
 /**
-No two holders of a group have the same token: executors obey both, and neither gives way. Real hosts on a virtual clock.
+No two holders of a group have the same fencing token: executors would obey both, and neither holder would give up the group. One
+fixed plan, simulated as in `no-task-twice`.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {makeStorelessToken} from '@gentianshift/scheduling';
 import {playPlan} from './play-plan.fixture.js';
 
-// Guards against two hosts that hold one group under one token for good, each stopping and starting anew what the other runs.
-test('two hosts that are cut off from each other and the store do not hold a group under one token', async () => {
+// Guards against two hosts that permanently hold the same group under the same token, each stopping and restarting what the other runs.
+test('two hosts that are cut off from each other and from the store do not hold a group under the same token', async () => {
 	const taken: string[] = [];
 	const broken = await playPlan(
 		{
@@ -34,8 +35,8 @@
 	assert.deepEqual(broken, []);
 });
 
-// Guards against a host that has heard of one takeover without the store more than another, and makes that one's token anew.
-test('hosts that know different last tokens do not make the same one', () => {
+// Guards against a host that knows of one more takeover without the store than another host does, and generates the same token as it.
+test('hosts that know different last tokens do not generate the same next token', () => {
 	const lastToken = 6464;
 	const heard = makeStorelessToken(lastToken, 0);
 	assert.notEqual(
--- a/packages/host/src/scheduling/faulty/play-plan.fixture.ts
+++ b/packages/host/src/scheduling/faulty/play-plan.fixture.ts
@@ -1,5 +1,5 @@
 /**
-Plays a plan of jobs and faults, and tells which promises were broken.
+Simulates a plan of jobs and faults, and reports which invariants were violated.
 */
 import {
 	type Executor,
@@ -43,25 +43,25 @@
 	{dataCentre: 'langreo', host: 'l2', clockAheadMs: -20},
 ] as const;
 
-/** A caller whose connection broke, or that was told so, sends its job again after this long, at another host. */
+/** A caller whose connection broke, or whose job was given up, sends the job again to another host after this long. */
 const resendMs = 1300;
-/** A connection that breaks under a request has its caller send it again over a new one this much later. */
+/** Likewise for faults whose callers send again at once: the delay until the copy is sent over a new connection. */
 const resendAtOnceMs = 9;
-/** Groups are held by then. */
+/** Time from the start of the hosts until each group has a holder; jobs and faults start only then. */
 const settleMs = 1500;
-/** After the last fault has ended, all callers are answered within this time. */
+/** All callers must be answered within this time after the last fault has ended. */
 const endMs = 9000;
-/** After the last job has come, likewise. */
+/** Likewise after the last job has arrived. */
 const endOfJobsMs = 6600;
 const timeLeftMs = 4000;
 const lookMs = 20;
 const taskCpu = 14_000;
-/** Room that has shrunk counts so much later: time for hosts to be in touch again, and one beat of executors. */
+/** A reduced capacity must be respected after this long: 3000 ms for hosts to be connected again, and 1500 ms for one heartbeat of the executors. */
 const roomGraceMs = 3000 + 1500;
-/** The entry of an executor that has crashed lapses after this long. */
+/** The store record of a crashed executor expires after this long. */
 const entryMs = 1500;
 const usualBackMs = 2000;
-/** A task that crashes its executors is started this often at most after so many crashes. */
+/** A task under which `crashesToKnow` executors have crashed may be started `mostStartsAfter` more times at most. */
 const crashesToKnow = 3;
 const mostStartsAfter = 2;
 
@@ -69,11 +69,11 @@
 	id: string;
 	answers: Array<JobAnswer['type']>;
 	sends: number;
-	/** It is sent again right after its connection broke. */
+	/** The last copy was sent again at once after its connection broke. */
 	isAtOnce: boolean;
 };
 
-/** The system while a plan is played. */
+/** The simulated system while a plan runs. */
 class Play {
 	readonly clock = new VirtualClock();
 	readonly #taskMs = new Map<string, number>();
@@ -156,37 +156,39 @@
 
 	*#checkPromises(): Generator<string> {
 		const {runs} = this.#executors;
-		yield* findOverlaps(runs).map((pair) => `twice: ${pair}`);
+		yield* findOverlaps(runs).map(
+			(pair) => `task ran twice at a time: ${pair}`,
+		);
 		yield* findOverfull(this.#executors, roomGraceMs).map(
-			(start) => `over its room: ${start}`,
+			(start) => `start exceeded the executor's capacity: ${start}`,
 		);
 		for (const [task, starts] of countStartsAfterCrashes(runs, crashesToKnow)) {
 			if (starts > mostStartsAfter) {
-				yield `started ${starts} times after ${crashesToKnow} crashes: ${task}`;
+				yield `task started ${starts} times after ${crashesToKnow} crashes: ${task}`;
 			}
 		}
 
 		for (const {id, tasks, answers, sends, crashMs} of this.#jobs) {
 			if (crashMs === undefined && answers.includes('failed')) {
-				yield `sound and failed: ${id}`;
+				yield `job failed although it crashes no executor: ${id}`;
 			}
 
 			const ofJob = runs.filter(({job}) => job === id);
 			const refusals = answers.filter((answer) => answer === 'refused');
-			// A copy whose connection broke may have run; of it nobody said that it did not.
+			// Refusals say that no task has run; a copy whose connection broke got no answer, and may have run.
 			if (refusals.length === sends && ofJob.length > 0) {
-				yield `untrue refusal: ${id} has run`;
+				yield `job refused although a task of it ran: ${id}`;
 			}
 
 			const done = new Set(
 				ofJob.filter(({outcome}) => outcome === 'done').map(({index}) => index),
 			);
 			if (answers.at(-1) === 'completed' && done.size < tasks) {
-				yield `partial answer: ${id}`;
+				yield `job completed although a task of it has not: ${id}`;
 			}
 
 			if (answers.length === 0) {
-				yield `no answer: ${id}`;
+				yield `job without an answer: ${id}`;
 			}
 		}
 	}
@@ -221,7 +223,7 @@
 
 	#replaceExecutor(former: Executor, next: Executor): void {
 		const {store} = this.#system;
-		this.log(`${this.clock.now} ${former.id} crashes`);
+		this.log(`${this.clock.now} executor ${former.id} crashes`);
 		this.clock.schedule(entryMs, () => {
 			store.setListed(former.id, false);
 		});
@@ -281,7 +283,7 @@
 		return host;
 	}
 
-	/** A caller's job goes to its host, or to the next one that lives. */
+	/** Sends a caller's job to its host, or to the next one that is alive; each copy that is sent again starts one host further. */
 	#send(job: PlayedJob): void {
 		const first = (job.host + job.sends) % hostCount;
 		const order = [...this.#hosts.slice(first), ...this.#hosts];
@@ -356,7 +358,7 @@
 	}
 }
 
-/** Plays the plan; gives the promises that were broken. */
+/** Simulates the plan; returns a line for each violation of an invariant, none if all held. */
 export async function playPlan(
 	plan: FaultPlan,
 	log: (line: string) => void = doNothing,
@@ -366,5 +368,5 @@
 }
 
 function doNothing(): void {
-	// Not of interest here.
+	// Nobody reads the log of this simulation.
 }
--- a/packages/host/src/scheduling/faulty/play-plans.fixture.ts
+++ b/packages/host/src/scheduling/faulty/play-plans.fixture.ts
@@ -1,5 +1,5 @@
 /**
-Draws plans and plays each of them.
+Generates plans at random and simulates each of them.
 */
 import assert from 'node:assert/strict';
 import process from 'node:process';
@@ -7,11 +7,11 @@
 import {type FaultPlan} from './fault-plan.fixture.js';
 import {playPlan} from './play-plan.fixture.js';
 
-/** More plans, or others: `PLANS=20000 PLAN_SEED=7 npm test -- scheduling/faulty`. */
+/** For more plans, or others: `PLANS=20000 PLAN_SEED=7 npm test -- scheduling/faulty`. */
 const chosenPlans = process.env.PLANS;
 const seed = Number(process.env.PLAN_SEED ?? 20_261_203);
 
-/** A plan that breaks a promise is made as small as it can be. */
+/** Simulates `plans` plans; one that violates an invariant is shrunk as far as possible and returned with the result. */
 export async function playPlans(
 	arbitrary: fc.Arbitrary<FaultPlan>,
 	plans = 2000,
