--- a/packages/host/src/scheduling/faulty/fault-plan.fixture.ts
+++ b/packages/host/src/scheduling/faulty/fault-plan.fixture.ts
@@ -11,7 +11,7 @@
 /** Two hosts in each data centre, two executors in the first and one in the second. */
 export const hostCount = 4;
 export const executorCount = 3;
-export const executorsOfFirst = 2;
+export const firstCentreExecutorCount = 2;
 
 export type PlannedJob = {
 	at: number;
@@ -25,44 +25,44 @@
 	/** Demand of each task, thousandths of a core. */
 	cpu?: number;
 	/** The first task of the job crashes each executor that runs it this long after the start. */
-	crashMs?: number;
+	crashAfterMs?: number;
 };
 
-/** Starts at `at`, milliseconds after the groups have got their first holders, and lasts for `forMs`. */
-export type PlannedFault = {at: number; forMs: number} & (
-	| {kind: 'kill' | 'freeze' | 'plan-stop'; host: number}
-	/** Connections of the host's callers break; the host notices `noticeMs` later. */
-	| {kind: 'reset-callers'; host: number; noticeMs?: number}
+/** Starts at `at`, milliseconds after the groups have got their first holders, and lasts for `durationMs`. */
+export type PlannedFault = {at: number; durationMs: number} & (
+	| {kind: 'kill' | 'freeze' | 'graceful-stop'; host: number}
+	/** Connections of the host's callers break; the host notices `noticeDelayMs` later. */
+	| {kind: 'reset-callers'; host: number; noticeDelayMs?: number}
 	/** The host's machine is suspended, and its monotonic clock stops: afterwards only the wall clock and the boot time show it. */
 	| {kind: 'suspend'; host: number}
 	/** The host dies, and its callers send their jobs again at once. */
-	| {kind: 'kill-requests'; host: number}
+	| {kind: 'kill-resend-at-once'; host: number}
 	/**
 	Connections of the host's callers break while requests are pending. The callers send them again at once, over new connections;
-	the host notices `noticeMs` later, and its connections to other hosts are broken for `forMs`.
+	the host notices `noticeDelayMs` later, and its connections to other hosts are broken for `durationMs`.
 	*/
-	| {kind: 'reset-requests'; host: number; noticeMs: number}
+	| {kind: 'reset-resend-at-once'; host: number; noticeDelayMs: number}
 	/** The holder of the first group at that time prepares to stop, so another host takes the group at once. */
 	| {kind: 'hand-over'}
 	/** Connections between two hosts break, and no new one can be made. */
 	| {kind: 'cut'; host: number; peer: number}
 	/** Messages from `host` to `peer` arrive only when the fault ends; the connections stay open. */
-	| {kind: 'hold-up'; host: number; peer: number}
+	| {kind: 'delay-messages'; host: number; peer: number}
 	/**
 	The same on one connection only, the one that `host` opened to `peer`: either the messages of `host` (`asked`) or those of
 	`peer` (`answered`).
 	*/
 	| {
-			kind: 'hold-up-connection';
+			kind: 'delay-connection';
 			host: number;
 			peer: number;
-			way: 'asked' | 'answered';
+			direction: 'asked' | 'answered';
 	  }
 	/** The connection that `host` opened to `peer` delivers nothing more; both hosts notice only because nothing arrives. */
 	| {kind: 'silent-connection'; host: number; peer: number}
 	/** The store refuses the host's calls, or carries them out and loses its answers. */
 	| {kind: 'store'; host: number; how: 'refuses' | 'loses-answers'}
-	/** The executor's record is missing from the store. */
+	/** The executor's registration is missing from the store. */
 	| {kind: 'unlist'; executor: number}
 	/** The executor can't be reached: calls get no answer and have no effect. */
 	| {kind: 'silence'; executor: number}
@@ -70,7 +70,7 @@
 	| {kind: 'shrink'; executor: number; share: number}
 	/** Each `every`-th call to the executor fails: it is lost, only its answer is lost, or it gets no answer and takes effect `lateMs` later. */
 	| {
-			kind: 'orders';
+			kind: 'faulty-calls';
 			executor: number;
 			how: 'lost' | 'answer-lost' | 'late';
 			every: number;
@@ -84,31 +84,31 @@
 	/** Executors accept starts that exceed their capacity. */
 	isUnguarded?: boolean;
 	/** A run goes on for this long after its stop was answered. */
-	stopMs?: number;
+	stopDelayMs?: number;
 	/** Time until a crashed executor is back. */
-	backMs?: number;
+	restartDelayMs?: number;
 };
 
 /** Jobs arrive and faults start within this time. */
-const spanMs = 2400;
+const planSpanMs = 2400;
 /** Faults start in clusters, this far apart: it is mostly two faults at nearly the same time that violate an invariant. */
-const beatMs = 800;
-const spreadMs = 250;
+const clusterIntervalMs = 800;
+const clusterSpreadMs = 250;
 const host = fc.nat(hostCount - 1);
 const executor = fc.nat(executorCount - 1);
-const at = fc
-	.tuple(fc.nat(spanMs / beatMs), fc.nat(spreadMs))
-	.map(([beat, offset]) => beat * beatMs + offset);
-const span = {
-	at,
-	forMs: fc.oneof(
+const clusteredStart = fc
+	.tuple(fc.nat(planSpanMs / clusterIntervalMs), fc.nat(clusterSpreadMs))
+	.map(([cluster, offset]) => cluster * clusterIntervalMs + offset);
+const clusteredTiming = {
+	at: clusteredStart,
+	durationMs: fc.oneof(
 		fc.integer({min: 50, max: 400}),
 		fc.integer({min: 400, max: 2500}),
 	),
 };
 
 const job = fc.record({
-	at: fc.nat(spanMs),
+	at: fc.nat(planSpanMs),
 	host,
 	tasks: fc.integer({min: 1, max: 3}),
 	runMs: fc.constantFrom(60, 600, 1500, 2500),
@@ -117,42 +117,45 @@
 });
 
 const hostFault = fc.record({
-	...span,
+	...clusteredTiming,
 	kind: fc.constantFrom(
 		'kill' as const,
 		'freeze' as const,
 		'suspend' as const,
-		'plan-stop' as const,
+		'graceful-stop' as const,
 		'reset-callers' as const,
 	),
 	host,
 });
 
-const handOver = fc.record({...span, kind: fc.constant('hand-over' as const)});
+const handOver = fc.record({
+	...clusteredTiming,
+	kind: fc.constant('hand-over' as const),
+});
 
 const linkFault = fc.record({
-	...span,
-	kind: fc.constantFrom('cut' as const, 'hold-up' as const),
+	...clusteredTiming,
+	kind: fc.constantFrom('cut' as const, 'delay-messages' as const),
 	host,
 	peer: host,
 });
 
 const storeFault = fc.record({
-	...span,
+	...clusteredTiming,
 	kind: fc.constant('store' as const),
 	host,
 	how: fc.constantFrom('refuses' as const, 'loses-answers' as const),
 });
 
 const executorFault = fc.record({
-	...span,
+	...clusteredTiming,
 	kind: fc.constantFrom('unlist' as const, 'silence' as const),
 	executor,
 });
 
-const orderFault = fc.record({
-	...span,
-	kind: fc.constant('orders' as const),
+const callFault = fc.record({
+	...clusteredTiming,
+	kind: fc.constant('faulty-calls' as const),
 	executor,
 	how: fc.constantFrom(
 		'lost' as const,
@@ -164,24 +167,24 @@
 });
 
 /** Short enough that connections are restored before groups count as unreachable, even if all faults of a plan follow one another. */
-const resetRequests = fc.record({
-	at: fc.nat(spanMs),
-	forMs: fc.integer({min: 0, max: 45}),
-	kind: fc.constant('reset-requests' as const),
+const connectionReset = fc.record({
+	at: fc.nat(planSpanMs),
+	durationMs: fc.integer({min: 0, max: 45}),
+	kind: fc.constant('reset-resend-at-once' as const),
 	host,
-	noticeMs: fc.integer({min: 0, max: 300}),
+	noticeDelayMs: fc.integer({min: 0, max: 300}),
 });
 
 const suspension = fc.record({
-	...span,
+	...clusteredTiming,
 	kind: fc.constant('suspend' as const),
 	host,
 });
 
 /** The weights favour takeovers of a group while calls to executors are lost: most violations occur there. */
-const fault: fc.Arbitrary<PlannedFault> = fc.oneof(
+const anyFault: fc.Arbitrary<PlannedFault> = fc.oneof(
 	{weight: 3, arbitrary: handOver},
-	{weight: 3, arbitrary: orderFault},
+	{weight: 3, arbitrary: callFault},
 	{weight: 2, arbitrary: executorFault},
 	{weight: 2, arbitrary: hostFault},
 	{weight: 1, arbitrary: linkFault},
@@ -190,12 +193,12 @@
 
 export const faultPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: fc.array(job, {minLength: 1, maxLength: 6}),
-	faults: fc.array(fault, {maxLength: 6}),
+	faults: fc.array(anyFault, {maxLength: 6}),
 });
 
 const resendJobs = fc.array(
 	fc.record({
-		at: fc.nat(spanMs),
+		at: fc.nat(planSpanMs),
 		host,
 		tasks: fc.integer({min: 1, max: 4}),
 		runMs: fc.constantFrom(60, 600, 1500),
@@ -210,38 +213,38 @@
 	jobs: resendJobs,
 	faults: fc.array(
 		fc.oneof(
-			{weight: 5, arbitrary: resetRequests},
+			{weight: 5, arbitrary: connectionReset},
 			{weight: 1, arbitrary: handOver},
-			{weight: 2, arbitrary: orderFault},
+			{weight: 2, arbitrary: callFault},
 			{weight: 1, arbitrary: executorFault},
 		),
 		{minLength: 1, maxLength: 6},
 	),
 });
 
-const lostHost = fc.record({
-	...span,
-	kind: fc.constant('kill-requests' as const),
+const hostLoss = fc.record({
+	...clusteredTiming,
+	kind: fc.constant('kill-resend-at-once' as const),
 	host,
 });
 
-const lostLink = fc.record({
-	...span,
+const linkCut = fc.record({
+	...clusteredTiming,
 	kind: fc.constant('cut' as const),
 	host,
 	peer: host,
 });
 
 /** As `resendPlans`; in addition, hosts die or lose the connections to one another. */
-export const lossPlans: fc.Arbitrary<FaultPlan> = fc.record({
+export const hostLossPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: resendJobs,
 	faults: fc.array(
 		fc.oneof(
-			{weight: 4, arbitrary: resetRequests},
-			{weight: 2, arbitrary: lostHost},
-			{weight: 2, arbitrary: lostLink},
+			{weight: 4, arbitrary: connectionReset},
+			{weight: 2, arbitrary: hostLoss},
+			{weight: 2, arbitrary: linkCut},
 			{weight: 1, arbitrary: handOver},
-			{weight: 1, arbitrary: orderFault},
+			{weight: 1, arbitrary: callFault},
 			{weight: 1, arbitrary: executorFault},
 		),
 		{minLength: 1, maxLength: 6},
@@ -249,20 +252,20 @@
 });
 
 /** Mostly delays messages from another host to the entry host, while those of the entry host arrive; at times between another pair. */
-function drawHeldUpLink(entry: number) {
+function drawMessageDelay(entry: number) {
 	return fc.record({
-		at: fc.nat(spreadMs),
-		forMs: fc.integer({min: 500, max: 3500}),
-		kind: fc.constant('hold-up' as const),
+		at: fc.nat(clusterSpreadMs),
+		durationMs: fc.integer({min: 500, max: 3500}),
+		kind: fc.constant('delay-messages' as const),
 		host,
 		peer: fc.oneof({weight: 3, arbitrary: fc.constant(entry)}, host),
 	});
 }
 
 /** Callers on new connections, one after another, so that their entry host keeps sending messages to all groups. */
-function drawBusyJobs(entry: number) {
+function drawFrequentJobs(entry: number) {
 	return fc.integer({min: 80, max: 400}).map((everyMs) =>
-		Array.from({length: Math.floor(spanMs / everyMs)}, (_, i) => ({
+		Array.from({length: Math.floor(planSpanMs / everyMs)}, (_, i) => ({
 			at: (i + 1) * everyMs,
 			host: entry,
 			tasks: 1,
@@ -275,7 +278,7 @@
 
 function drawLongJobs(entry: number) {
 	const longJob = fc.record({
-		at: fc.nat(spreadMs),
+		at: fc.nat(clusterSpreadMs),
 		host: fc.constant(entry),
 		tasks: fc.integer({min: 1, max: 3}),
 		runMs: fc.constantFrom(600, 1500, 2200),
@@ -286,26 +289,27 @@
 }
 
 /** Long jobs and many short ones at one entry host, while messages between hosts are delayed, mostly in one direction. */
-export const heldUpPlans: fc.Arbitrary<FaultPlan> = host.chain((entry) =>
-	fc.record({
-		jobs: fc
-			.tuple(drawLongJobs(entry), drawBusyJobs(entry))
-			.map((jobs) => jobs.flat()),
-		faults: fc.array(
-			fc.oneof(
-				{weight: 5, arbitrary: drawHeldUpLink(entry)},
-				{weight: 1, arbitrary: lostLink},
-				{weight: 1, arbitrary: hostFault},
-				{weight: 1, arbitrary: handOver},
-				{weight: 1, arbitrary: orderFault},
+export const delayedMessagePlans: fc.Arbitrary<FaultPlan> = host.chain(
+	(entry) =>
+		fc.record({
+			jobs: fc
+				.tuple(drawLongJobs(entry), drawFrequentJobs(entry))
+				.map((jobs) => jobs.flat()),
+			faults: fc.array(
+				fc.oneof(
+					{weight: 5, arbitrary: drawMessageDelay(entry)},
+					{weight: 1, arbitrary: linkCut},
+					{weight: 1, arbitrary: hostFault},
+					{weight: 1, arbitrary: handOver},
+					{weight: 1, arbitrary: callFault},
+				),
+				{minLength: 1, maxLength: 5},
 			),
-			{minLength: 1, maxLength: 5},
-		),
-	}),
+		}),
 );
 
 /** Machines are suspended while hosts die and connections between hosts break or delay messages. */
-export const suspendPlans: fc.Arbitrary<FaultPlan> = fc.record({
+export const suspensionPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: fc.array(job, {minLength: 1, maxLength: 6}),
 	faults: fc.array(
 		fc.oneof(
@@ -322,14 +326,14 @@
 
 const connectionFault = fc.oneof(
 	fc.record({
-		...span,
-		kind: fc.constant('hold-up-connection' as const),
+		...clusteredTiming,
+		kind: fc.constant('delay-connection' as const),
 		host,
 		peer: host,
-		way: fc.constantFrom('asked' as const, 'answered' as const),
+		direction: fc.constantFrom('asked' as const, 'answered' as const),
 	}),
 	fc.record({
-		...span,
+		...clusteredTiming,
 		kind: fc.constant('silent-connection' as const),
 		host,
 		peer: host,
@@ -337,14 +341,14 @@
 );
 
 /** Single connections delay messages or go silent, while the other connection between the same hosts works. */
-export const connectionPlans: fc.Arbitrary<FaultPlan> = fc.record({
+export const connectionFaultPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: fc.array(job, {minLength: 1, maxLength: 6}),
 	faults: fc.array(
 		fc.oneof(
 			{weight: 5, arbitrary: connectionFault},
 			{weight: 3, arbitrary: handOver},
 			{weight: 1, arbitrary: hostFault},
-			{weight: 1, arbitrary: orderFault},
+			{weight: 1, arbitrary: callFault},
 			{weight: 1, arbitrary: executorFault},
 		),
 		{minLength: 1, maxLength: 6},
@@ -352,12 +356,12 @@
 });
 
 /** Reduced capacity is enforced only some seconds later, so these plans are longer. */
-const shrinkSpanMs = 9000;
-const atInShrink = fc.nat(shrinkSpanMs);
+const longPlanSpanMs = 9000;
+const longPlanStart = fc.nat(longPlanSpanMs);
 
 const shrink = fc.record({
-	at: atInShrink,
-	forMs: fc.oneof(
+	at: longPlanStart,
+	durationMs: fc.oneof(
 		fc.integer({min: 100, max: 2000}),
 		fc.integer({min: 5000, max: 9000}),
 	),
@@ -366,8 +370,8 @@
 	share: fc.constantFrom(0, 0.3, 0.5, 0.9),
 });
 
-const jobBesideShrink = fc.record({
-	at: atInShrink,
+const jobDuringShrink = fc.record({
+	at: longPlanStart,
 	host,
 	tasks: fc.integer({min: 1, max: 4}),
 	runMs: fc.constantFrom(60, 600, 1500, 2500),
@@ -376,31 +380,31 @@
 	cpu: fc.constantFrom(3000, 9000, 14_000, 28_000),
 });
 
-function moveLater(fault: fc.Arbitrary<PlannedFault>) {
+function drawInLongPlan(fault: fc.Arbitrary<PlannedFault>) {
 	return fc
-		.tuple(fault, atInShrink)
+		.tuple(fault, longPlanStart)
 		.map(([one, at]): PlannedFault => ({...one, at}));
 }
 
-const slowShrinkPlans: fc.Arbitrary<FaultPlan> = fc.record({
-	jobs: fc.array(jobBesideShrink, {minLength: 4, maxLength: 16}),
+const longShrinkPlans: fc.Arbitrary<FaultPlan> = fc.record({
+	jobs: fc.array(jobDuringShrink, {minLength: 4, maxLength: 16}),
 	faults: fc
 		.tuple(
 			fc.array(shrink, {minLength: 1, maxLength: 4}),
 			fc.array(
 				fc.oneof(
-					{weight: 3, arbitrary: moveLater(handOver)},
-					{weight: 3, arbitrary: moveLater(orderFault)},
-					{weight: 2, arbitrary: moveLater(hostFault)},
-					{weight: 1, arbitrary: moveLater(executorFault)},
-					{weight: 1, arbitrary: moveLater(storeFault)},
+					{weight: 3, arbitrary: drawInLongPlan(handOver)},
+					{weight: 3, arbitrary: drawInLongPlan(callFault)},
+					{weight: 2, arbitrary: drawInLongPlan(hostFault)},
+					{weight: 1, arbitrary: drawInLongPlan(executorFault)},
+					{weight: 1, arbitrary: drawInLongPlan(storeFault)},
 				),
 				{maxLength: 6},
 			),
 		)
 		.map((faults) => faults.flat()),
 	isUnguarded: fc.boolean(),
-	stopMs: fc.constantFrom(0, 40),
+	stopDelayMs: fc.constantFrom(0, 40),
 });
 
 /** Large tasks run while the group changes holders, and the jobs that arrive right after meet a holder that does not know of all runs yet. */
@@ -409,7 +413,7 @@
 		.tuple(
 			fc.array(
 				fc.record({
-					at: fc.nat(spreadMs),
+					at: fc.nat(clusterSpreadMs),
 					host,
 					tasks: fc.integer({min: 1, max: 2}),
 					runMs: fc.constantFrom(1500, 2500),
@@ -420,7 +424,10 @@
 			),
 			fc.array(
 				fc.record({
-					at: fc.integer({min: beatMs, max: beatMs + 2 * spreadMs}),
+					at: fc.integer({
+						min: clusterIntervalMs,
+						max: clusterIntervalMs + 2 * clusterSpreadMs,
+					}),
 					host,
 					tasks: fc.integer({min: 1, max: 4}),
 					runMs: fc.constantFrom(60, 600),
@@ -434,8 +441,11 @@
 	faults: fc
 		.tuple(
 			fc.record({
-				at: fc.integer({min: beatMs, max: beatMs + spreadMs}),
-				forMs: fc.constant(2500),
+				at: fc.integer({
+					min: clusterIntervalMs,
+					max: clusterIntervalMs + clusterSpreadMs,
+				}),
+				durationMs: fc.constant(2500),
 				kind: fc.constant('hand-over' as const),
 			}),
 			fc.array(
@@ -443,10 +453,13 @@
 					.tuple(
 						fc.oneof(
 							{weight: 3, arbitrary: hostFault},
-							{weight: 1, arbitrary: orderFault},
+							{weight: 1, arbitrary: callFault},
 							{weight: 1, arbitrary: linkFault},
 						),
-						fc.integer({min: beatMs - spreadMs, max: beatMs + spreadMs}),
+						fc.integer({
+							min: clusterIntervalMs - clusterSpreadMs,
+							max: clusterIntervalMs + clusterSpreadMs,
+						}),
 					)
 					.map(([one, at]): PlannedFault => ({...one, at})),
 				{maxLength: 3},
@@ -454,29 +467,29 @@
 		)
 		.map((faults) => faults.flat()),
 	isUnguarded: fc.boolean(),
-	stopMs: fc.constantFrom(0, 40),
+	stopDelayMs: fc.constantFrom(0, 40),
 });
 
 /** The capacity of executors shrinks and grows while groups change holders, hosts die, and calls are lost or late. */
-export const shrinkPlans: fc.Arbitrary<FaultPlan> = fc.oneof(
-	slowShrinkPlans,
+export const capacityChangePlans: fc.Arbitrary<FaultPlan> = fc.oneof(
+	longShrinkPlans,
 	takeoverPlans,
 );
 
 const crashingJob = fc.record({
-	at: fc.nat(spanMs),
+	at: fc.nat(planSpanMs),
 	host,
 	tasks: fc.integer({min: 1, max: 3}),
 	runMs: fc.constantFrom(60, 600, 1500),
 	allowanceMs: fc.constantFrom(60, 1000),
 	isOnNewConnection: fc.boolean(),
-	crashMs: fc.constantFrom(0, 5, 50, 500),
+	crashAfterMs: fc.constantFrom(0, 5, 50, 500),
 });
 
-const backMs = fc.integer({min: 500, max: 4000});
+const restartDelayMs = fc.integer({min: 500, max: 4000});
 
 /** Jobs that crash their executors run beside jobs that don't, while groups change holders, hosts die and calls are lost. */
-export const crashPlans: fc.Arbitrary<FaultPlan> = fc.record({
+export const executorCrashPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: fc
 		.tuple(
 			fc.array(crashingJob, {minLength: 1, maxLength: 2}),
@@ -486,20 +499,20 @@
 	faults: fc.array(
 		fc.oneof(
 			{weight: 3, arbitrary: handOver},
-			{weight: 2, arbitrary: resetRequests},
+			{weight: 2, arbitrary: connectionReset},
 			{weight: 2, arbitrary: hostFault},
-			{weight: 2, arbitrary: orderFault},
+			{weight: 2, arbitrary: callFault},
 			{weight: 1, arbitrary: executorFault},
 			{weight: 1, arbitrary: linkFault},
-			{weight: 1, arbitrary: lostHost},
+			{weight: 1, arbitrary: hostLoss},
 		),
 		{maxLength: 5},
 	),
-	backMs,
+	restartDelayMs,
 });
 
-/** As `crashPlans`, with one job that crashes its executors and no other fault. */
-export const plainCrashPlans: fc.Arbitrary<FaultPlan> = fc.record({
+/** As `executorCrashPlans`, with one job that crashes its executors and no other fault. */
+export const crashOnlyPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: fc
 		.tuple(
 			fc.array(crashingJob, {minLength: 1, maxLength: 1}),
@@ -507,5 +520,5 @@
 		)
 		.map((jobs) => jobs.flat()),
 	faults: fc.constant([]),
-	backMs,
+	restartDelayMs,
 });
--- a/packages/host/src/scheduling/faulty/faulty-host.fixture.ts
+++ b/packages/host/src/scheduling/faulty/faulty-host.fixture.ts
@@ -16,16 +16,16 @@
 import {createSchedulingHandlers} from '../scheduling-handlers.js';
 import {type ExecutorSource} from '../surroundings.js';
 
-const updateEveryMs = 50;
+const updateIntervalMs = 50;
 
-export type HostPlace = {
+export type HostIdentity = {
 	dataCentre: string;
 	host: string;
 	/** Milliseconds by which its wall clock is ahead of the virtual clock. */
-	clockAheadMs: number;
+	wallClockOffsetMs: number;
 };
 
-export type HostSurroundings = {
+export type HostEnvironment = {
 	clock: VirtualClock;
 	store: CoordinationStore;
 	executors: ExecutorSource;
@@ -33,38 +33,38 @@
 	/** Executors refuse starts that exceed their capacity. */
 	isGuarded: boolean;
 	/** Keys of the data centre's hosts, in the order in which they may take over the group. */
-	listOrder: () => readonly string[];
+	listTakeoverOrder: () => readonly string[];
 	peers: Omit<Peers, 'listOrder' | 'getCores'>;
 	log: (message: string, fields: Record<string, unknown>) => void;
 };
 
-type Process = {
+type HostProcess = {
 	roles: HostRoles;
 	handlers: MeshHandlers;
-	ending: AbortController;
+	abortController: AbortController;
 };
 
 export class FaultyHost {
 	readonly key: string;
 	readonly dataCentre: string;
-	#process: Process | undefined;
+	#process: HostProcess | undefined;
 	#incarnation = 0;
 	#frozenUntil = 0;
 	/** When the machine was suspended; undefined: its monotonic clock runs. */
 	#suspendedAt: number | undefined;
 	/** Total of earlier suspensions, which the monotonic clock has not counted. */
-	#uncountedMs = 0;
+	#suspendedMs = 0;
 	/** Work that arrived while the host was frozen; it runs when the freeze ends. */
-	#unread: Array<() => void> = [];
+	#deferredWork: Array<() => void> = [];
 	/** By job id: callers that wait on a connection to this host; the function tells the host that the connection broke. */
-	readonly #callers = new Map<string, () => void>();
+	readonly #waitingCallers = new Map<string, () => void>();
 
 	constructor(
-		private readonly place: HostPlace,
-		private readonly surroundings: HostSurroundings,
+		private readonly identity: HostIdentity,
+		private readonly environment: HostEnvironment,
 	) {
-		this.key = `${place.dataCentre}_${place.host}`;
-		this.dataCentre = place.dataCentre;
+		this.key = `${identity.dataCentre}_${identity.host}`;
+		this.dataCentre = identity.dataCentre;
 	}
 
 	get isAlive(): boolean {
@@ -79,8 +79,8 @@
 		return {
 			t: 'hello',
 			version: 1,
-			dataCentre: this.place.dataCentre,
-			host: this.place.host,
+			dataCentre: this.identity.dataCentre,
+			host: this.identity.host,
 			incarnation: this.incarnation,
 			address: '',
 			isLeaving: false,
@@ -92,7 +92,7 @@
 	}
 
 	/** Runs work in the host's process, once the host is not frozen; drops it if that process ends before. */
-	run(work: (process: Process) => void): void {
+	run(work: (process: HostProcess) => void): void {
 		const process = this.#process;
 		if (!process) {
 			return;
@@ -105,7 +105,7 @@
 		};
 
 		if (this.#isFrozen()) {
-			this.#unread.push(runNow);
+			this.#deferredWork.push(runNow);
 		} else {
 			runNow();
 		}
@@ -122,21 +122,21 @@
 	kill(): string[] {
 		const process = this.#process;
 		this.#process = undefined;
-		this.#unread = [];
+		this.#deferredWork = [];
 		this.#frozenUntil = 0;
-		process?.ending.abort();
+		process?.abortController.abort();
 		process?.roles.holding.scheduler?.close();
 		return this.#takeCallers();
 	}
 
-	freeze(forMs: number): void {
-		const {clock} = this.surroundings;
-		this.#frozenUntil = Math.max(this.#frozenUntil, clock.now + forMs);
-		clock.schedule(forMs, () => {
+	freeze(durationMs: number): void {
+		const {clock} = this.environment;
+		this.#frozenUntil = Math.max(this.#frozenUntil, clock.now + durationMs);
+		clock.schedule(durationMs, () => {
 			if (!this.#isFrozen()) {
-				const unread = this.#unread;
-				this.#unread = [];
-				for (const runNow of unread) {
+				const deferredWork = this.#deferredWork;
+				this.#deferredWork = [];
+				for (const runNow of deferredWork) {
 					runNow();
 				}
 			}
@@ -144,44 +144,44 @@
 	}
 
 	/** Freezes the host, and stops the machine's monotonic clock for that time. */
-	suspend(forMs: number): void {
-		const {clock} = this.surroundings;
+	suspend(durationMs: number): void {
+		const {clock} = this.environment;
 		this.#suspendedAt ??= clock.now;
-		clock.schedule(forMs, () => {
+		clock.schedule(durationMs, () => {
 			if (this.#suspendedAt !== undefined && !this.#isFrozen()) {
-				this.#uncountedMs += clock.now - this.#suspendedAt;
+				this.#suspendedMs += clock.now - this.#suspendedAt;
 				this.#suspendedAt = undefined;
 			}
 		});
-		this.freeze(forMs);
+		this.freeze(durationMs);
 	}
 
 	submit(request: JobRequest, onAnswer: (answer: JobAnswer) => void): void {
 		let abandon: () => void = doNothing;
-		const leave = () => {
+		const reportDisconnect = () => {
 			abandon();
 		};
 
-		this.#callers.set(request.id, leave);
+		this.#waitingCallers.set(request.id, reportDisconnect);
 		this.run(({roles}) => {
 			abandon = roles.submit(request, (answer) => {
-				if (this.#callers.get(request.id) === leave) {
-					this.#callers.delete(request.id);
+				if (this.#waitingCallers.get(request.id) === reportDisconnect) {
+					this.#waitingCallers.delete(request.id);
 					onAnswer(answer);
 				}
 			});
 		});
 	}
 
-	/** Breaks the callers' connections; the host notices `noticeMs` later. Returns the ids of the jobs that were on them. */
-	resetCallers(noticeMs = 0): string[] {
-		const leaving = [...this.#callers.values()];
+	/** Breaks the callers' connections; the host notices `noticeDelayMs` later. Returns the ids of the jobs that were on them. */
+	resetCallers(noticeDelayMs = 0): string[] {
+		const disconnects = [...this.#waitingCallers.values()];
 		const ids = this.#takeCallers();
 		const process = this.#process;
-		this.surroundings.clock.schedule(noticeMs, () => {
+		this.environment.clock.schedule(noticeDelayMs, () => {
 			this.run((current) => {
-				for (const leave of current === process ? leaving : []) {
-					leave();
+				for (const reportDisconnect of current === process ? disconnects : []) {
+					reportDisconnect();
 				}
 			});
 		});
@@ -189,7 +189,7 @@
 	}
 
 	/** Announces that the host is about to stop and leaves its roles to others, or withdraws that. */
-	planStop(isStopping: boolean): void {
+	setStopping(isStopping: boolean): void {
 		this.run(({roles}) => {
 			roles.isStopping = isStopping;
 			roles.tellState();
@@ -197,29 +197,29 @@
 	}
 
 	/** The machine's monotonic clock, which stops during a suspension. */
-	#readSteadyClock(): number {
-		return this.#toSteadyTime(this.surroundings.clock.now);
+	#readMonotonicClock(): number {
+		return this.#toMonotonicTime(this.environment.clock.now);
 	}
 
-	#toSteadyTime(at: number): number {
-		return Math.min(at, this.#suspendedAt ?? Infinity) - this.#uncountedMs;
+	#toMonotonicTime(at: number): number {
+		return Math.min(at, this.#suspendedAt ?? Infinity) - this.#suspendedMs;
 	}
 
 	#takeCallers(): string[] {
-		const ids = [...this.#callers.keys()];
-		this.#callers.clear();
+		const ids = [...this.#waitingCallers.keys()];
+		this.#waitingCallers.clear();
 		return ids;
 	}
 
 	#isFrozen(): boolean {
-		return this.surroundings.clock.now < this.#frozenUntil;
+		return this.environment.clock.now < this.#frozenUntil;
 	}
 
 	/** Resolves once the host is not frozen; never, if the process has ended by then. */
-	async #waitAwake(incarnation: number): Promise<void> {
+	async #waitUntilRunning(incarnation: number): Promise<void> {
 		while (this.#isFrozen()) {
-			await this.surroundings.clock.wait(
-				this.#frozenUntil - this.surroundings.clock.now,
+			await this.environment.clock.wait(
+				this.#frozenUntil - this.environment.clock.now,
 			);
 		}
 
@@ -230,39 +230,42 @@
 		}
 	}
 
-	#createProcess(): Process {
-		const {clock, log, peers, listOrder} = this.surroundings;
-		const ending = new AbortController();
+	#createProcess(): HostProcess {
+		const {clock, log, peers, listTakeoverOrder} = this.environment;
+		const abortController = new AbortController();
 		const incarnation = this.#incarnation;
-		const hold = <T, E>(call: ResultAsync<T, E>): ResultAsync<T, E> =>
+		const waitWhileFrozen = <T, E>(
+			call: ResultAsync<T, E>,
+		): ResultAsync<T, E> =>
 			new ResultAsync(
 				(async () => {
 					const result = await call;
-					await this.#waitAwake(incarnation);
+					await this.#waitUntilRunning(incarnation);
 					return result;
 				})(),
 			);
 		const wait = async (ms: number, signal?: AbortSignal): Promise<void> => {
-			const endsAt = this.#readSteadyClock() + ms;
+			const endsAt = this.#readMonotonicClock() + ms;
 			await clock.wait(ms, signal);
-			await this.#waitAwake(incarnation);
-			while (!signal?.aborted && this.#readSteadyClock() < endsAt) {
-				await clock.wait(endsAt - this.#readSteadyClock(), signal);
-				await this.#waitAwake(incarnation);
+			await this.#waitUntilRunning(incarnation);
+			while (!signal?.aborted && this.#readMonotonicClock() < endsAt) {
+				await clock.wait(endsAt - this.#readMonotonicClock(), signal);
+				await this.#waitUntilRunning(incarnation);
 			}
 		};
 
 		const lists = createExecutorLists({
 			source: {
-				list: (options) => hold(this.surroundings.executors.list(options)),
+				list: (options) =>
+					waitWhileFrozen(this.environment.executors.list(options)),
 			},
 			isNamedService: () => true,
-			isGuardedService: () => this.surroundings.isGuarded,
+			isGuardedService: () => this.environment.isGuarded,
 			isHolder: () => roles.holding.scheduler !== undefined,
 			onList(list) {
 				roles.holding.setExecutors(list);
 			},
-			now: () => this.#readSteadyClock(),
+			now: () => this.#readMonotonicClock(),
 			wait,
 			random: () => 0.5,
 			log,
@@ -271,16 +274,16 @@
 			dataCentre: this.dataCentre,
 			key: this.key,
 			ownerId: `${this.key}.${this.incarnation}`,
-			store: wrapStore(this.surroundings.store, hold, (at) =>
-				this.#toSteadyTime(at),
+			store: wrapStore(this.environment.store, waitWhileFrozen, (at) =>
+				this.#toMonotonicTime(at),
 			),
-			control: wrapControl(this.surroundings.control, hold),
+			control: wrapControl(this.environment.control, waitWhileFrozen),
 			executors: lists,
-			peers: {...peers, listOrder, getCores: () => 1},
+			peers: {...peers, listOrder: listTakeoverOrder, getCores: () => 1},
 			getLeaseId: () => 1,
-			now: () => this.#readSteadyClock(),
+			now: () => this.#readMonotonicClock(),
 			readBootTime: () => clock.now,
-			readWallClock: () => clock.now + this.place.clockAheadMs,
+			readWallClock: () => clock.now + this.identity.wallClockOffsetMs,
 			wait,
 			defer(work) {
 				clock.schedule(0, work);
@@ -301,14 +304,14 @@
 			roles,
 			tables: {tell: doNothing, receive: doNothing},
 			findAddress: () => '',
-			now: () => this.#readSteadyClock(),
+			now: () => this.#readMonotonicClock(),
 			log,
 		});
-		lists.start(ending.signal);
-		return {roles, handlers, ending};
+		lists.start(abortController.signal);
+		return {roles, handlers, abortController};
 	}
 
-	#repeatUpdates(process: Process): void {
+	#repeatUpdates(process: HostProcess): void {
 		if (this.#process !== process) {
 			return;
 		}
@@ -317,37 +320,41 @@
 			process.roles.update();
 		}
 
-		this.surroundings.clock.schedule(updateEveryMs, () => {
+		this.environment.clock.schedule(updateIntervalMs, () => {
 			this.#repeatUpdates(process);
 		});
 	}
 }
 
-type Hold = <T, E>(call: ResultAsync<T, E>) => ResultAsync<T, E>;
+type WaitWhileFrozen = <T, E>(call: ResultAsync<T, E>) => ResultAsync<T, E>;
 
 function wrapStore(
 	store: CoordinationStore,
-	hold: Hold,
-	toSteadyTime: (at: number) => number,
+	waitWhileFrozen: WaitWhileFrozen,
+	toMonotonicTime: (at: number) => number,
 ): CoordinationStore {
 	return {
 		...store,
 		getAnsweredAt() {
 			const answeredAt = store.getAnsweredAt();
-			return answeredAt === undefined ? undefined : toSteadyTime(answeredAt);
+			return answeredAt === undefined ? undefined : toMonotonicTime(answeredAt);
 		},
-		readKey: (key) => hold(store.readKey(key)),
-		commit: (change) => hold(store.commit(change)),
+		readKey: (key) => waitWhileFrozen(store.readKey(key)),
+		commit: (change) => waitWhileFrozen(store.commit(change)),
 	};
 }
 
-function wrapControl(control: ExecutorControl, hold: Hold): ExecutorControl {
+function wrapControl(
+	control: ExecutorControl,
+	waitWhileFrozen: WaitWhileFrozen,
+): ExecutorControl {
 	return {
 		startTask: (executor, request) =>
-			hold(control.startTask(executor, request)),
-		stopTask: (executor, request) => hold(control.stopTask(executor, request)),
+			waitWhileFrozen(control.startTask(executor, request)),
+		stopTask: (executor, request) =>
+			waitWhileFrozen(control.stopTask(executor, request)),
 		renewLease: (executor, request) =>
-			hold(control.renewLease(executor, request)),
+			waitWhileFrozen(control.renewLease(executor, request)),
 		forgetExecutor: control.forgetExecutor,
 	};
 }
--- a/packages/host/src/scheduling/faulty/faulty-network.fixture.ts
+++ b/packages/host/src/scheduling/faulty/faulty-network.fixture.ts
@@ -12,23 +12,23 @@
 import {type VirtualClock} from '@gentianshift/scheduling/fixtures';
 import {type FaultyHost} from './faulty-host.fixture.js';
 
-const linkMs = 1;
+const latencyMs = 1;
 /** Connections are checked for silence this often, so a silent one may be noticed this much later. */
-const noticeMs = 180;
+const silenceCheckMs = 180;
 /** Delay before a connection that was closed for silence is opened again. */
-const redialMs = 100;
+const redialDelayMs = 100;
 
 /** `asked`: sent by the host that opened the connection; `answered`: sent to it. */
-type Way = 'asked' | 'answered';
+type Direction = 'asked' | 'answered';
 
 export class FaultyNetwork {
 	readonly clock: VirtualClock;
 	readonly #hosts: readonly FaultyHost[];
 	readonly #connections = new Map<string, Connection>();
 	/** By pair of hosts: how many faults keep them disconnected now. */
-	readonly #cuts = new Map<string, number>();
+	readonly #cutCounts = new Map<string, number>();
 	/** By pair of sender and receiver: messages arrive no earlier than this. */
-	readonly #heldUntil = new Map<string, number>();
+	readonly #delayedUntil = new Map<string, number>();
 
 	constructor(clock: VirtualClock, hosts: readonly FaultyHost[]) {
 		this.clock = clock;
@@ -39,8 +39,8 @@
 	connect(): void {
 		for (const from of this.#hosts) {
 			for (const to of this.#hosts) {
-				const key = makePair(from, to);
-				const isCut = (this.#cuts.get(key) ?? 0) > 0;
+				const key = makePairKey(from, to);
+				const isCut = (this.#cutCounts.get(key) ?? 0) > 0;
 				const canOpen = from !== to && from.isAlive && to.isAlive && !isCut;
 				if (canOpen && !this.#connections.get(key)?.isOpen) {
 					const connection = new Connection(this, from, to);
@@ -52,9 +52,12 @@
 	}
 
 	/** Breaks both connections of a pair, or allows new ones. */
-	cut(a: FaultyHost, b: FaultyHost, isCut: boolean): void {
-		for (const key of [makePair(a, b), makePair(b, a)]) {
-			this.#cuts.set(key, (this.#cuts.get(key) ?? 0) + (isCut ? 1 : -1));
+	setCut(a: FaultyHost, b: FaultyHost, isCut: boolean): void {
+		for (const key of [makePairKey(a, b), makePairKey(b, a)]) {
+			this.#cutCounts.set(
+				key,
+				(this.#cutCounts.get(key) ?? 0) + (isCut ? 1 : -1),
+			);
 			if (isCut) {
 				this.#connections.get(key)?.close('cut');
 			}
@@ -64,43 +67,43 @@
 	}
 
 	/** Breaks all connections of a host, or allows new ones. */
-	cutOff(host: FaultyHost, isCut: boolean): void {
+	setIsolated(host: FaultyHost, isIsolated: boolean): void {
 		for (const other of this.#hosts) {
 			if (other !== host) {
-				this.cut(host, other, isCut);
+				this.setCut(host, other, isIsolated);
 			}
 		}
 	}
 
-	holdUp(from: FaultyHost, to: FaultyHost, until: number): void {
-		this.#heldUntil.set(makePair(from, to), until);
+	setDelay(from: FaultyHost, to: FaultyHost, until: number): void {
+		this.#delayedUntil.set(makePairKey(from, to), until);
 	}
 
-	holdUpConnection(
+	setConnectionDelay(
 		from: FaultyHost,
 		to: FaultyHost,
-		{way, until}: {way: Way; until: number},
+		{direction, until}: {direction: Direction; until: number},
 	): void {
-		this.#connections.get(makePair(from, to))?.holdUp(way, until);
+		this.#connections.get(makePairKey(from, to))?.setDelay(direction, until);
 	}
 
 	/** The connection delivers nothing more; it is closed and opened again once the silence is noticed. */
-	silence(from: FaultyHost, to: FaultyHost): void {
-		const connection = this.#connections.get(makePair(from, to));
+	markSilent(from: FaultyHost, to: FaultyHost): void {
+		const connection = this.#connections.get(makePairKey(from, to));
 		if (!connection?.isOpen) {
 			return;
 		}
 
 		connection.isSilent = true;
-		this.clock.schedule(silenceMs + noticeMs, () => {
+		this.clock.schedule(silenceMs + silenceCheckMs, () => {
 			connection.close(silentReason);
-			this.clock.schedule(redialMs, () => {
+			this.clock.schedule(redialDelayMs, () => {
 				this.connect();
 			});
 		});
 	}
 
-	closeAll(host: FaultyHost): void {
+	closeAllOf(host: FaultyHost): void {
 		for (const connection of this.#connections.values()) {
 			if (connection.from === host || connection.to === host) {
 				connection.close('gone');
@@ -118,9 +121,9 @@
 			.map(({link}) => link);
 	}
 
-	getArrival(from: FaultyHost, to: FaultyHost): number {
-		const heldUntil = this.#heldUntil.get(makePair(from, to)) ?? 0;
-		return Math.max(this.clock.now + linkMs, heldUntil);
+	computeArrival(from: FaultyHost, to: FaultyHost): number {
+		const delayedUntil = this.#delayedUntil.get(makePairKey(from, to)) ?? 0;
+		return Math.max(this.clock.now + latencyMs, delayedUntil);
 	}
 }
 
@@ -131,8 +134,8 @@
 	readonly link: Link;
 	readonly session: Session;
 	/** When the last message in each direction arrives: no later one may overtake it. */
-	#askedAt = 0;
-	#repliedAt = 0;
+	#lastRequestAt = 0;
+	#lastReplyAt = 0;
 
 	constructor(
 		private readonly network: FaultyNetwork,
@@ -143,24 +146,29 @@
 			key: to.key,
 			hello: to.hello,
 			send: (message) => {
-				this.#askedAt = this.#send(message, from, to, this.#askedAt);
+				this.#lastRequestAt = this.#send(
+					message,
+					from,
+					to,
+					this.#lastRequestAt,
+				);
 			},
 		};
 		this.session = {
 			key: from.key,
 			hello: from.hello,
 			send: (message) => {
-				this.#repliedAt = this.#send(message, to, from, this.#repliedAt);
+				this.#lastReplyAt = this.#send(message, to, from, this.#lastReplyAt);
 			},
 		};
 	}
 
 	/** Messages that are sent in that direction from now on arrive no earlier than `until`. */
-	holdUp(way: Way, until: number): void {
-		if (way === 'asked') {
-			this.#askedAt = Math.max(this.#askedAt, until);
+	setDelay(direction: Direction, until: number): void {
+		if (direction === 'asked') {
+			this.#lastRequestAt = Math.max(this.#lastRequestAt, until);
 		} else {
-			this.#repliedAt = Math.max(this.#repliedAt, until);
+			this.#lastReplyAt = Math.max(this.#lastReplyAt, until);
 		}
 	}
 
@@ -198,7 +206,7 @@
 			return lastAt;
 		}
 
-		const at = Math.max(this.network.getArrival(from, to), lastAt);
+		const at = Math.max(this.network.computeArrival(from, to), lastAt);
 		clock.schedule(at - clock.now, () => {
 			if (!this.isOpen) {
 				return;
@@ -216,6 +224,6 @@
 	}
 }
 
-function makePair(from: FaultyHost, to: FaultyHost): string {
+function makePairKey(from: FaultyHost, to: FaultyHost): string {
 	return `${from.key} ${to.key}`;
 }
--- a/packages/host/src/scheduling/faulty/faulty-store.fixture.ts
+++ b/packages/host/src/scheduling/faulty/faulty-store.fixture.ts
@@ -1,5 +1,5 @@
 /**
-The platform's store on a virtual clock: the keys that name each group's holder, and the executors' records as hosts list them.
+The platform's store on a virtual clock: the keys that name each group's holder, and the executors' registrations as hosts list them.
 */
 import {err, errAsync, ok, ResultAsync} from 'neverthrow';
 import {
@@ -12,58 +12,60 @@
 import {type VirtualClock} from '@gentianshift/scheduling/fixtures';
 import {type ExecutorSource} from '../surroundings.js';
 
-const answerMs = 4;
+const answerDelayMs = 4;
 /** Time-out of a call that gets no answer. */
-const callLimitMs = 600;
+const callTimeoutMs = 600;
 /** Age of what a read with `mayBeStale` returns. */
-const staleMs = 2000;
+const stalenessMs = 2000;
 const firstRevision = 100;
 
-export type StoreMood = 'well' | 'refuses' | 'loses-answers';
+export type StoreMode = 'normal' | 'refuses' | 'loses-answers';
 
 export class FaultyStore {
 	readonly #items = new Map<string, StoreItem>();
 	#revision = firstRevision;
-	/** By executor id: how many faults hide its record now. */
-	readonly #unlisted = new Map<string, number>();
+	/** By executor id: how many faults or crashes hide its registration now. */
+	readonly #unlistedCounts = new Map<string, number>();
 	/** Every list so far, with the time from which it was current. */
-	readonly #lists: Array<{since: number; words: ExecutorWord[]}> = [];
-	/** The current record of each executor, by id. */
-	readonly #words = new Map<string, ExecutorWord>();
+	readonly #listHistory: Array<{since: number; registrations: ExecutorWord[]}> =
+		[];
+
+	/** The current registration of each executor, by id. */
+	readonly #registrations = new Map<string, ExecutorWord>();
 
 	constructor(
 		private readonly clock: VirtualClock,
 		executors: readonly Executor[],
 	) {
 		for (const executor of executors) {
-			this.#enter(executor);
+			this.#putRegistration(executor);
 		}
 
-		this.#noteList();
+		this.#appendList();
 	}
 
-	/** Adds an executor's record, as if it had just written it. */
+	/** Adds an executor's registration, as if it had just written it. */
 	addExecutor(executor: Executor): void {
-		this.#enter(executor);
-		this.#noteList();
+		this.#putRegistration(executor);
+		this.#appendList();
 	}
 
 	setListed(id: string, isListed: boolean): void {
-		const reasons = this.#unlisted.get(id) ?? 0;
-		this.#unlisted.set(id, reasons + (isListed ? -1 : 1));
-		this.#noteList();
+		const count = this.#unlistedCounts.get(id) ?? 0;
+		this.#unlistedCounts.set(id, count + (isListed ? -1 : 1));
+		this.#appendList();
 	}
 
-	/** Updates the capacity in the executor's record. */
+	/** Updates the capacity in the executor's registration. */
 	setCapacity(id: string, capacity: ExecutorWord['capacity']): void {
-		const word = this.#words.get(id)!;
-		const sequence = (word.sequence ?? 0) + 1;
-		this.#words.set(id, {...word, capacity, sequence});
-		this.#noteList();
+		const registration = this.#registrations.get(id)!;
+		const sequence = (registration.sequence ?? 0) + 1;
+		this.#registrations.set(id, {...registration, capacity, sequence});
+		this.#appendList();
 	}
 
 	/** Creates one host's client of the store. */
-	createView(getMood: () => StoreMood): {
+	createClient(getMode: () => StoreMode): {
 		store: CoordinationStore;
 		executors: ExecutorSource;
 	} {
@@ -73,23 +75,23 @@
 		): ResultAsync<T, StoreFailure> =>
 			new ResultAsync(
 				(async () => {
-					await this.clock.wait(answerMs);
-					const mood = getMood();
-					if (mood === 'refuses') {
-						return err(fail('unavailable'));
+					await this.clock.wait(answerDelayMs);
+					const mode = getMode();
+					if (mode === 'refuses') {
+						return err(makeFailure('unavailable'));
 					}
 
 					const result = await work();
-					if (mood === 'loses-answers') {
-						await this.clock.wait(callLimitMs);
-						return err(fail('unknown-outcome'));
+					if (mode === 'loses-answers') {
+						await this.clock.wait(callTimeoutMs);
+						return err(makeFailure('unknown-outcome'));
 					}
 
 					answeredAt = this.clock.now;
 					return result;
 				})(),
 			);
-		const unused = () => errAsync(fail('rejected'));
+		const rejectCall = () => errAsync(makeFailure('rejected'));
 		return {
 			store: {
 				readKey: (key) =>
@@ -97,11 +99,11 @@
 						() => new ResultAsync(Promise.resolve(ok(this.#items.get(key)))),
 					),
 				commit: (change) => call(() => this.#commit(change)),
-				readPrefix: unused,
-				watchPrefix: unused,
-				createLease: unused,
-				renewLease: unused,
-				endLease: unused,
+				readPrefix: rejectCall,
+				watchPrefix: rejectCall,
+				createLease: rejectCall,
+				renewLease: rejectCall,
+				endLease: rejectCall,
 				getAnsweredAt: () => answeredAt,
 				async close() {
 					// There is no connection to close.
@@ -110,7 +112,10 @@
 			executors: {
 				list: ({mayBeStale = false} = {}) =>
 					call(
-						() => new ResultAsync(Promise.resolve(ok(this.#list(mayBeStale)))),
+						() =>
+							new ResultAsync(
+								Promise.resolve(ok(this.#listExecutors(mayBeStale))),
+							),
 					),
 			},
 		};
@@ -123,11 +128,11 @@
 		{revision: number},
 		StoreFailure
 	> {
-		const holds = expected.every(
+		const hasExpectedRevisions = expected.every(
 			({key, revision}) => (this.#items.get(key)?.revision ?? 0) === revision,
 		);
-		if (!holds) {
-			return errAsync(fail('conflict'));
+		if (!hasExpectedRevisions) {
+			return errAsync(makeFailure('conflict'));
 		}
 
 		this.#revision += 1;
@@ -138,27 +143,44 @@
 		return new ResultAsync(Promise.resolve(ok({revision: this.#revision})));
 	}
 
-	#enter({id, address, dataCentre, service, ...rest}: Executor): void {
+	#putRegistration({
+		id,
+		address,
+		dataCentre,
+		service,
+		...rest
+	}: Executor): void {
 		const {isDraining, capacity} = rest;
-		const word = {id, address, dataCentre, service, isDraining, capacity};
-		this.#words.set(id, {...word, sequence: 1});
+		const registration = {
+			id,
+			address,
+			dataCentre,
+			service,
+			isDraining,
+			capacity,
+		};
+		this.#registrations.set(id, {...registration, sequence: 1});
 	}
 
-	#noteList(): void {
-		const words = [...this.#words.values()].filter(
-			({id}) => (this.#unlisted.get(id) ?? 0) === 0,
+	#appendList(): void {
+		const registrations = [...this.#registrations.values()].filter(
+			({id}) => (this.#unlistedCounts.get(id) ?? 0) === 0,
 		);
-		this.#lists.push({since: this.clock.now, words});
+		this.#listHistory.push({
+			since: this.clock.now,
+			registrations,
+		});
 	}
 
-	#list(mayBeStale: boolean): ExecutorWord[] {
-		const at = this.clock.now - (mayBeStale ? staleMs : 0);
+	#listExecutors(mayBeStale: boolean): ExecutorWord[] {
+		const at = this.clock.now - (mayBeStale ? stalenessMs : 0);
 		const list =
-			this.#lists.findLast(({since}) => since <= at) ?? this.#lists[0]!;
-		return list.words;
+			this.#listHistory.findLast(({since}) => since <= at) ??
+			this.#listHistory[0]!;
+		return list.registrations;
 	}
 }
 
-function fail(code: StoreFailure['code']): StoreFailure {
+function makeFailure(code: StoreFailure['code']): StoreFailure {
 	return {code, message: code};
 }
--- a/packages/host/src/scheduling/faulty/no-claim-kept.test.ts
+++ b/packages/host/src/scheduling/faulty/no-claim-kept.test.ts
@@ -5,14 +5,14 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
-import {heldUpPlans} from './fault-plan.fixture.js';
-import {playPlans} from './play-plans.fixture.js';
+import {delayedMessagePlans} from './fault-plan.fixture.js';
+import {checkPlans} from './check-plans.fixture.js';
 
 const planCount = 600;
 // Runs before the tests start: within a test, the test runner tracks each promise, which takes three times as long.
-const played = await playPlans(heldUpPlans, planCount);
+const result = await checkPlans(delayedMessagePlans, planCount);
 
 // Guards against messages for other jobs, or late messages, that keep a task running at a holder which the entry host has given up on.
 test('no task runs twice at a time when messages between hosts are delayed', () => {
-	assert.ok(!played.failed, fc.defaultReportMessage(played));
+	assert.ok(!result.failed, fc.defaultReportMessage(result));
 });
--- a/packages/host/src/scheduling/faulty/no-copy-lost.test.ts
+++ b/packages/host/src/scheduling/faulty/no-copy-lost.test.ts
@@ -5,24 +5,24 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
-import {lossPlans, type FaultPlan} from './fault-plan.fixture.js';
-import {playPlan} from './play-plan.fixture.js';
-import {playPlans} from './play-plans.fixture.js';
+import {hostLossPlans, type FaultPlan} from './fault-plan.fixture.js';
+import {runPlan} from './run-plan.fixture.js';
+import {checkPlans} from './check-plans.fixture.js';
 
 /** Plans in which hosts die take longer than others; a test file may take two minutes while other work runs on the machine. */
 const planCount = 800;
 // Runs before the tests start: within a test, the test runner tracks each promise, which takes three times as long.
-const played = await playPlans(lossPlans, planCount);
+const result = await checkPlans(hostLossPlans, planCount);
 
 // Guards against a copy that is placed although another copy may run, and no scheduler that can be reached knows whether it does.
 test('no task runs twice at a time when the callers of lost hosts send their jobs again at once', () => {
-	assert.ok(!played.failed, fc.defaultReportMessage(played));
+	assert.ok(!result.failed, fc.defaultReportMessage(result));
 });
 
 /** Plans that once violated an invariant, each with the situation that led to it. */
-const brokenOnce: ReadonlyArray<{cause: string; plan: FaultPlan}> = [
+const regressions: ReadonlyArray<{situation: string; plan: FaultPlan}> = [
 	{
-		cause:
+		situation:
 			'a job was recalled from an entry host that was itself waiting for another copy to end',
 		plan: {
 			jobs: [
@@ -30,37 +30,55 @@
 				{at: 0, host: 0, tasks: 1, runMs: 60, allowanceMs: 60},
 			],
 			faults: [
-				{at: 1092, forMs: 0, kind: 'reset-requests', host: 3, noticeMs: 0},
-				{at: 800, forMs: 400, kind: 'kill-requests', host: 2},
+				{
+					at: 1092,
+					durationMs: 0,
+					kind: 'reset-resend-at-once',
+					host: 3,
+					noticeDelayMs: 0,
+				},
+				{at: 800, durationMs: 400, kind: 'kill-resend-at-once', host: 2},
 			],
 		},
 	},
 	{
-		cause:
+		situation:
 			'an entry host died while the next entry host could not reach the holder',
 		plan: {
 			jobs: [{at: 0, host: 0, tasks: 1, runMs: 1500, allowanceMs: 60}],
 			faults: [
-				{at: 1600, forMs: 400, kind: 'kill-requests', host: 1},
-				{at: 1600, forMs: 400, kind: 'cut', host: 2, peer: 0},
-				{at: 542, forMs: 0, kind: 'reset-requests', host: 0, noticeMs: 10},
+				{at: 1600, durationMs: 400, kind: 'kill-resend-at-once', host: 1},
+				{at: 1600, durationMs: 400, kind: 'cut', host: 2, peer: 0},
+				{
+					at: 542,
+					durationMs: 0,
+					kind: 'reset-resend-at-once',
+					host: 0,
+					noticeDelayMs: 10,
+				},
 			],
 		},
 	},
 	{
-		cause:
+		situation:
 			'an entry host died long after the next entry host had been cut off from the holder',
 		plan: {
 			jobs: [{at: 0, host: 0, tasks: 1, runMs: 1500, allowanceMs: 60}],
 			faults: [
-				{at: 2400, forMs: 400, kind: 'kill-requests', host: 1},
-				{at: 1600, forMs: 950, kind: 'cut', host: 2, peer: 0},
-				{at: 1039, forMs: 0, kind: 'reset-requests', host: 0, noticeMs: 0},
+				{at: 2400, durationMs: 400, kind: 'kill-resend-at-once', host: 1},
+				{at: 1600, durationMs: 950, kind: 'cut', host: 2, peer: 0},
+				{
+					at: 1039,
+					durationMs: 0,
+					kind: 'reset-resend-at-once',
+					host: 0,
+					noticeDelayMs: 0,
+				},
 			],
 		},
 	},
 	{
-		cause:
+		situation:
 			'an entry host that had just started knew neither the group nor the other copy',
 		plan: {
 			jobs: [
@@ -68,14 +86,20 @@
 				{at: 0, host: 0, tasks: 1, runMs: 60, allowanceMs: 60},
 			],
 			faults: [
-				{at: 800, forMs: 12, kind: 'reset-requests', host: 2, noticeMs: 0},
-				{at: 800, forMs: 50, kind: 'silence', executor: 2},
-				{at: 0, forMs: 800, kind: 'kill-requests', host: 3},
+				{
+					at: 800,
+					durationMs: 12,
+					kind: 'reset-resend-at-once',
+					host: 2,
+					noticeDelayMs: 0,
+				},
+				{at: 800, durationMs: 50, kind: 'silence', executor: 2},
+				{at: 0, durationMs: 800, kind: 'kill-resend-at-once', host: 3},
 			],
 		},
 	},
 	{
-		cause:
+		situation:
 			'no host had a connection to the first entry host when its copy was asked for',
 		plan: {
 			jobs: [
@@ -83,15 +107,21 @@
 				{at: 0, host: 0, tasks: 1, runMs: 60, allowanceMs: 60},
 			],
 			faults: [
-				{at: 0, forMs: 800, kind: 'cut', host: 2, peer: 3},
-				{at: 800, forMs: 12, kind: 'reset-requests', host: 2, noticeMs: 0},
-				{at: 800, forMs: 50, kind: 'silence', executor: 2},
-				{at: 0, forMs: 400, kind: 'kill-requests', host: 0},
+				{at: 0, durationMs: 800, kind: 'cut', host: 2, peer: 3},
+				{
+					at: 800,
+					durationMs: 12,
+					kind: 'reset-resend-at-once',
+					host: 2,
+					noticeDelayMs: 0,
+				},
+				{at: 800, durationMs: 50, kind: 'silence', executor: 2},
+				{at: 0, durationMs: 400, kind: 'kill-resend-at-once', host: 0},
 			],
 		},
 	},
 	{
-		cause:
+		situation:
 			'a re-established connection made a host forget a holder that had died',
 		plan: {
 			jobs: [
@@ -99,14 +129,26 @@
 				{at: 0, host: 0, tasks: 1, runMs: 60, allowanceMs: 60},
 			],
 			faults: [
-				{at: 0, forMs: 400, kind: 'kill-requests', host: 2},
-				{at: 301, forMs: 0, kind: 'reset-requests', host: 0, noticeMs: 0},
-				{at: 0, forMs: 0, kind: 'reset-requests', host: 0, noticeMs: 0},
+				{at: 0, durationMs: 400, kind: 'kill-resend-at-once', host: 2},
+				{
+					at: 301,
+					durationMs: 0,
+					kind: 'reset-resend-at-once',
+					host: 0,
+					noticeDelayMs: 0,
+				},
+				{
+					at: 0,
+					durationMs: 0,
+					kind: 'reset-resend-at-once',
+					host: 0,
+					noticeDelayMs: 0,
+				},
 			],
 		},
 	},
 	{
-		cause:
+		situation:
 			'an entry host that had just started did not know of a holder that had died',
 		plan: {
 			jobs: [
@@ -114,14 +156,14 @@
 				{at: 0, host: 0, tasks: 1, runMs: 60, allowanceMs: 60},
 			],
 			faults: [
-				{at: 800, forMs: 50, kind: 'kill-requests', host: 0},
-				{at: 0, forMs: 799, kind: 'cut', host: 1, peer: 0},
-				{at: 0, forMs: 50, kind: 'kill-requests', host: 1},
+				{at: 800, durationMs: 50, kind: 'kill-resend-at-once', host: 0},
+				{at: 0, durationMs: 799, kind: 'cut', host: 1, peer: 0},
+				{at: 0, durationMs: 50, kind: 'kill-resend-at-once', host: 1},
 			],
 		},
 	},
 	{
-		cause:
+		situation:
 			'an entry host accepted a job again after its message to drop the earlier copy was lost',
 		plan: {
 			jobs: [
@@ -137,13 +179,19 @@
 				},
 			],
 			faults: [
-				{at: 2387, forMs: 12, kind: 'reset-requests', host: 2, noticeMs: 0},
-				{at: 800, forMs: 1001, kind: 'kill-requests', host: 1},
+				{
+					at: 2387,
+					durationMs: 12,
+					kind: 'reset-resend-at-once',
+					host: 2,
+					noticeDelayMs: 0,
+				},
+				{at: 800, durationMs: 1001, kind: 'kill-resend-at-once', host: 1},
 			],
 		},
 	},
 	{
-		cause:
+		situation:
 			'an entry host died whose tasks were at a later holder than the one that the next entry host knew',
 		plan: {
 			jobs: [
@@ -152,17 +200,29 @@
 				{at: 4, host: 0, tasks: 4, runMs: 600, allowanceMs: 60},
 			],
 			faults: [
-				{at: 1600, forMs: 898, kind: 'cut', host: 0, peer: 1},
-				{at: 693, forMs: 0, kind: 'reset-requests', host: 1, noticeMs: 0},
-				{at: 2400, forMs: 50, kind: 'kill-requests', host: 3},
-				{at: 656, forMs: 0, kind: 'reset-requests', host: 0, noticeMs: 0},
+				{at: 1600, durationMs: 898, kind: 'cut', host: 0, peer: 1},
+				{
+					at: 693,
+					durationMs: 0,
+					kind: 'reset-resend-at-once',
+					host: 1,
+					noticeDelayMs: 0,
+				},
+				{at: 2400, durationMs: 50, kind: 'kill-resend-at-once', host: 3},
+				{
+					at: 656,
+					durationMs: 0,
+					kind: 'reset-resend-at-once',
+					host: 0,
+					noticeDelayMs: 0,
+				},
 			],
 		},
 	},
 ];
 
-for (const {cause, plan} of brokenOnce) {
-	test(`all invariants hold when ${cause}`, async () => {
-		assert.deepEqual(await playPlan(plan), []);
+for (const {situation, plan} of regressions) {
+	test(`all invariants hold when ${situation}`, async () => {
+		assert.deepEqual(await runPlan(plan), []);
 	});
 }
--- a/packages/host/src/scheduling/faulty/no-fleet-crashed.test.ts
+++ b/packages/host/src/scheduling/faulty/no-fleet-crashed.test.ts
@@ -5,27 +5,27 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
-import {crashPlans, plainCrashPlans} from './fault-plan.fixture.js';
-import {playPlan} from './play-plan.fixture.js';
-import {playPlans} from './play-plans.fixture.js';
+import {executorCrashPlans, crashOnlyPlans} from './fault-plan.fixture.js';
+import {runPlan} from './run-plan.fixture.js';
+import {checkPlans} from './check-plans.fixture.js';
 
 // Runs before the tests start: within a test, the test runner tracks each promise, which takes three times as long.
-const played = await playPlans(crashPlans, 300);
-const playedPlain = await playPlans(plainCrashPlans, 200);
+const result = await checkPlans(executorCrashPlans, 300);
+const crashOnlyResult = await checkPlans(crashOnlyPlans, 200);
 
 // Guards against takeovers, jobs that move to another holder, and callers that send again, each of which could start such a task anew.
 test('no task is started more than twice after three executors have crashed under it', () => {
-	assert.ok(!played.failed, fc.defaultReportMessage(played));
+	assert.ok(!result.failed, fc.defaultReportMessage(result));
 });
 
 // Guards against blaming jobs that ran beside the task that crashed the executor.
 test('no job fails because it runs beside a job that crashes executors', () => {
-	assert.ok(!playedPlain.failed, fc.defaultReportMessage(playedPlain));
+	assert.ok(!crashOnlyResult.failed, fc.defaultReportMessage(crashOnlyResult));
 });
 
 // Guards against a previous holder that starts tasks on an executor which came after its successor had listed the executors.
 test('a holder that learns of its successor starts no further task', async () => {
-	const broken = await playPlan({
+	const violations = await runPlan({
 		jobs: [
 			{
 				at: 271,
@@ -33,27 +33,34 @@
 				tasks: 3,
 				runMs: 1500,
 				allowanceMs: 60,
-				crashMs: 5,
+				crashAfterMs: 5,
 			},
-			{at: 0, host: 0, tasks: 1, runMs: 60, allowanceMs: 60, crashMs: 500},
+			{at: 0, host: 0, tasks: 1, runMs: 60, allowanceMs: 60, crashAfterMs: 500},
 		],
-		faults: [{at: 217, forMs: 1336, kind: 'hand-over'}],
-		backMs: 1290,
+		faults: [{at: 217, durationMs: 1336, kind: 'hand-over'}],
+		restartDelayMs: 1290,
 	});
-	assert.deepEqual(broken, []);
+	assert.deepEqual(violations, []);
 });
 
 // Guards against crashes that no holder counts because the group changes holders before they are recognised as crashes.
 test('silent executors are reported when a group changes holders', async () => {
-	const broken = await playPlan({
+	const violations = await runPlan({
 		jobs: [
-			{at: 779, host: 1, tasks: 1, runMs: 600, allowanceMs: 60, crashMs: 50},
+			{
+				at: 779,
+				host: 1,
+				tasks: 1,
+				runMs: 600,
+				allowanceMs: 60,
+				crashAfterMs: 50,
+			},
 		],
 		faults: [
-			{at: 1600, forMs: 1603, kind: 'hand-over'},
-			{at: 2400, forMs: 453, kind: 'hand-over'},
+			{at: 1600, durationMs: 1603, kind: 'hand-over'},
+			{at: 2400, durationMs: 453, kind: 'hand-over'},
 		],
-		backMs: 508,
+		restartDelayMs: 508,
 	});
-	assert.deepEqual(broken, []);
+	assert.deepEqual(violations, []);
 });
--- a/packages/host/src/scheduling/faulty/no-task-twice-connections.test.ts
+++ b/packages/host/src/scheduling/faulty/no-task-twice-connections.test.ts
@@ -6,23 +6,23 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
-import {connectionPlans} from './fault-plan.fixture.js';
-import {playPlan} from './play-plan.fixture.js';
-import {playPlans} from './play-plans.fixture.js';
+import {connectionFaultPlans} from './fault-plan.fixture.js';
+import {runPlan} from './run-plan.fixture.js';
+import {checkPlans} from './check-plans.fixture.js';
 
 const planCount = 600;
 // Runs before the tests start: within a test, the test runner tracks each promise, which takes three times as long.
-const played = await playPlans(connectionPlans, planCount);
+const result = await checkPlans(connectionFaultPlans, planCount);
 
 // Guards against messages that arrive in another order than they were sent in.
 test('no task runs twice at a time when single connections delay messages', () => {
-	assert.ok(!played.failed, fc.defaultReportMessage(played));
+	assert.ok(!result.failed, fc.defaultReportMessage(result));
 });
 
 // A host loses its group, takes it again and runs the task; then its message from the first term, which returned the task, arrives late.
 // The entry host must not act on it by placing the task elsewhere.
 test('a task that a holder returned in an earlier term is not placed elsewhere while the same host runs it in a later term', async () => {
-	const broken = await playPlan({
+	const violations = await runPlan({
 		jobs: [
 			{at: 100, host: 0, tasks: 4, runMs: 600, allowanceMs: 1000},
 			{at: 100, host: 3, tasks: 2, runMs: 60, allowanceMs: 1000},
@@ -31,15 +31,15 @@
 		faults: [
 			{
 				at: 0,
-				forMs: 2450,
-				kind: 'hold-up-connection',
+				durationMs: 2450,
+				kind: 'delay-connection',
 				host: 3,
 				peer: 0,
-				way: 'answered',
+				direction: 'answered',
 			},
-			{at: 350, forMs: 1800, kind: 'hand-over'},
-			{at: 2300, forMs: 1500, kind: 'hand-over'},
+			{at: 350, durationMs: 1800, kind: 'hand-over'},
+			{at: 2300, durationMs: 1500, kind: 'hand-over'},
 		],
 	});
-	assert.deepEqual(broken, []);
+	assert.deepEqual(violations, []);
 });
--- a/packages/host/src/scheduling/faulty/no-task-twice.test.ts
+++ b/packages/host/src/scheduling/faulty/no-task-twice.test.ts
@@ -7,32 +7,32 @@
 import {test} from 'node:test';
 import fc from 'fast-check';
 import {faultPlans, type FaultPlan} from './fault-plan.fixture.js';
-import {playPlan} from './play-plan.fixture.js';
-import {playPlans} from './play-plans.fixture.js';
+import {runPlan} from './run-plan.fixture.js';
+import {checkPlans} from './check-plans.fixture.js';
 
 // Runs before the tests start: within a test, the test runner tracks each promise, which takes three times as long.
-const played = await playPlans(faultPlans);
+const result = await checkPlans(faultPlans);
 
 // If an invariant is violated, the plan is shrunk as far as possible and printed.
 test('no plan of faults makes a task run twice at a time, a refused job run, or an incomplete job count as completed', () => {
-	assert.ok(!played.failed, fc.defaultReportMessage(played));
+	assert.ok(!result.failed, fc.defaultReportMessage(result));
 });
 
 /** Plans that once violated an invariant, each with the situation that led to it. */
-const brokenOnce: ReadonlyArray<{cause: string; plan: FaultPlan}> = [
+const regressions: ReadonlyArray<{situation: string; plan: FaultPlan}> = [
 	{
-		cause:
+		situation:
 			'the message to drop a job was lost with the connection to the holder',
 		plan: {
 			jobs: [
 				{at: 0, host: 1, tasks: 1, runMs: 2500, allowanceMs: 1000},
 				{at: 201, host: 1, tasks: 1, runMs: 60, allowanceMs: 1000},
 			],
-			faults: [{at: 150, forMs: 351, kind: 'cut', host: 0, peer: 1}],
+			faults: [{at: 150, durationMs: 351, kind: 'cut', host: 0, peer: 1}],
 		},
 	},
 	{
-		cause:
+		situation:
 			'a new holder, whose first query of an executor was lost, acted on the first line of the later report alone',
 		plan: {
 			jobs: [
@@ -40,11 +40,11 @@
 				{at: 504, host: 0, tasks: 1, runMs: 60, allowanceMs: 1000},
 			],
 			faults: [
-				{at: 800, forMs: 753, kind: 'hand-over'},
+				{at: 800, durationMs: 753, kind: 'hand-over'},
 				{
 					at: 0,
-					forMs: 1563,
-					kind: 'orders',
+					durationMs: 1563,
+					kind: 'faulty-calls',
 					executor: 1,
 					how: 'lost',
 					every: 3,
@@ -54,18 +54,19 @@
 		},
 	},
 	{
-		cause: 'an executor was silent right after its group had changed holders',
+		situation:
+			'an executor was silent right after its group had changed holders',
 		plan: {
 			jobs: [{at: 0, host: 0, tasks: 2, runMs: 2500, allowanceMs: 1000}],
 			faults: [
-				{at: 800, forMs: 753, kind: 'hand-over'},
-				{at: 1600, forMs: 53, kind: 'plan-stop', host: 1},
-				{at: 1600, forMs: 63, kind: 'silence', executor: 0},
+				{at: 800, durationMs: 753, kind: 'hand-over'},
+				{at: 1600, durationMs: 53, kind: 'graceful-stop', host: 1},
+				{at: 1600, durationMs: 63, kind: 'silence', executor: 0},
 			],
 		},
 	},
 	{
-		cause:
+		situation:
 			'a holder that resumed after a freeze treated an entry host that had given up on it as one that had kept waiting',
 		plan: {
 			jobs: [
@@ -74,15 +75,15 @@
 				{at: 1600, host: 3, tasks: 3, runMs: 1500, allowanceMs: 60},
 			],
 			faults: [
-				{at: 2405, forMs: 1896, kind: 'freeze', host: 0},
-				{at: 0, forMs: 1331, kind: 'silence', executor: 2},
-				{at: 0, forMs: 50, kind: 'kill', host: 0},
-				{at: 890, forMs: 411, kind: 'hand-over'},
+				{at: 2405, durationMs: 1896, kind: 'freeze', host: 0},
+				{at: 0, durationMs: 1331, kind: 'silence', executor: 2},
+				{at: 0, durationMs: 50, kind: 'kill', host: 0},
+				{at: 890, durationMs: 411, kind: 'hand-over'},
 			],
 		},
 	},
 	{
-		cause:
+		situation:
 			'messages for other jobs reached a holder that the entry host considered silent',
 		plan: {
 			jobs: [
@@ -96,21 +97,23 @@
 					isOnNewConnection: true,
 				})),
 			],
-			faults: [{at: 10, forMs: 3000, kind: 'hold-up', host: 0, peer: 1}],
+			faults: [
+				{at: 10, durationMs: 3000, kind: 'delay-messages', host: 0, peer: 1},
+			],
 		},
 	},
 	{
-		cause:
+		situation:
 			'a holder whose machine was suspended treated claims that entry hosts had renewed before as fresh',
 		plan: {
 			jobs: [{at: 0, host: 1, tasks: 1, runMs: 2500, allowanceMs: 60}],
-			faults: [{at: 0, forMs: 901, kind: 'suspend', host: 0}],
+			faults: [{at: 0, durationMs: 901, kind: 'suspend', host: 0}],
 		},
 	},
 ];
 
-for (const {cause, plan} of brokenOnce) {
-	test(`all invariants hold when ${cause}`, async () => {
-		assert.deepEqual(await playPlan(plan), []);
+for (const {situation, plan} of regressions) {
+	test(`all invariants hold when ${situation}`, async () => {
+		assert.deepEqual(await runPlan(plan), []);
 	});
 }
--- a/packages/host/src/scheduling/faulty/no-token-twice.test.ts
+++ b/packages/host/src/scheduling/faulty/no-token-twice.test.ts
@@ -5,12 +5,12 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {makeStorelessToken} from '@gentianshift/scheduling';
-import {playPlan} from './play-plan.fixture.js';
+import {runPlan} from './run-plan.fixture.js';
 
 // Guards against two hosts that permanently hold the same group under the same token, each stopping and restarting what the other runs.
 test('two hosts that are cut off from each other and from the store do not hold a group under the same token', async () => {
-	const taken: string[] = [];
-	const broken = await playPlan(
+	const takenTokens: string[] = [];
+	const violations = await runPlan(
 		{
 			jobs: Array.from({length: 40}, (_, i) => ({
 				at: 100 + i * 200,
@@ -20,27 +20,27 @@
 				allowanceMs: 1000,
 			})),
 			faults: [
-				{at: 0, forMs: 9000, kind: 'store', host: 0, how: 'refuses'},
-				{at: 0, forMs: 9000, kind: 'store', host: 1, how: 'refuses'},
-				{at: 100, forMs: 8000, kind: 'cut', host: 0, peer: 1},
+				{at: 0, durationMs: 9000, kind: 'store', host: 0, how: 'refuses'},
+				{at: 0, durationMs: 9000, kind: 'store', host: 1, how: 'refuses'},
+				{at: 100, durationMs: 8000, kind: 'cut', host: 0, peer: 1},
 			],
 		},
 		(line) => {
 			const [, token] =
 				/ group taken .*"group":"mieres","token":(\d+)/v.exec(line) ?? [];
-			taken.push(...(token === undefined ? [] : [token]));
+			takenTokens.push(...(token === undefined ? [] : [token]));
 		},
 	);
-	assert.deepEqual(taken, [...new Set(taken)]);
-	assert.deepEqual(broken, []);
+	assert.deepEqual(takenTokens, [...new Set(takenTokens)]);
+	assert.deepEqual(violations, []);
 });
 
 // Guards against a host that knows of one more takeover without the store than another host does, and generates the same token as it.
 test('hosts that know different last tokens do not generate the same next token', () => {
 	const lastToken = 6464;
-	const heard = makeStorelessToken(lastToken, 0);
+	const laterToken = makeStorelessToken(lastToken, 0);
 	assert.notEqual(
-		makeStorelessToken(heard, 0),
+		makeStorelessToken(laterToken, 0),
 		makeStorelessToken(lastToken, 1),
 	);
 });
--- a/packages/host/src/scheduling/faulty/play-plan.fixture.ts
+++ b/packages/host/src/scheduling/faulty/run-plan.fixture.ts
@@ -18,79 +18,79 @@
 	type FakeExecutors,
 } from '@gentianshift/scheduling/fixtures';
 import {
-	beginFault,
+	startFault,
 	type FaultySystem,
-	type OrderRule,
-	type ShrinkRule,
-} from './begin-fault.fixture.js';
+	type CallFault,
+	type ShrinkFault,
+} from './start-fault.fixture.js';
 import {FaultyHost} from './faulty-host.fixture.js';
 import {FaultyNetwork} from './faulty-network.fixture.js';
-import {FaultyStore, type StoreMood} from './faulty-store.fixture.js';
+import {FaultyStore, type StoreMode} from './faulty-store.fixture.js';
 import {
 	dataCentres,
 	executorCount,
-	executorsOfFirst,
+	firstCentreExecutorCount,
 	hostCount,
 	type FaultPlan,
 	type PlannedFault,
 	type PlannedJob,
 } from './fault-plan.fixture.js';
 
-const places = [
-	{dataCentre: 'mieres', host: 'm1', clockAheadMs: 0},
-	{dataCentre: 'mieres', host: 'm2', clockAheadMs: 40},
-	{dataCentre: 'langreo', host: 'l1', clockAheadMs: 3},
-	{dataCentre: 'langreo', host: 'l2', clockAheadMs: -20},
+const hostIdentities = [
+	{dataCentre: 'mieres', host: 'm1', wallClockOffsetMs: 0},
+	{dataCentre: 'mieres', host: 'm2', wallClockOffsetMs: 40},
+	{dataCentre: 'langreo', host: 'l1', wallClockOffsetMs: 3},
+	{dataCentre: 'langreo', host: 'l2', wallClockOffsetMs: -20},
 ] as const;
 
 /** A caller whose connection broke, or whose job was given up, sends the job again to another host after this long. */
-const resendMs = 1300;
+const resendDelayMs = 1300;
 /** Likewise for faults whose callers send again at once: the delay until the copy is sent over a new connection. */
-const resendAtOnceMs = 9;
+const immediateResendDelayMs = 9;
 /** Time from the start of the hosts until each group has a holder; jobs and faults start only then. */
-const settleMs = 1500;
+const startUpMs = 1500;
 /** All callers must be answered within this time after the last fault has ended. */
-const endMs = 9000;
+const answerLimitAfterFaultsMs = 9000;
 /** Likewise after the last job has arrived. */
-const endOfJobsMs = 6600;
-const timeLeftMs = 4000;
-const lookMs = 20;
-const taskCpu = 14_000;
+const answerLimitAfterJobsMs = 6600;
+const callerTimeoutMs = 4000;
+const pollIntervalMs = 20;
+const defaultTaskCpu = 14_000;
 /** A reduced capacity must be respected after this long: 3000 ms for hosts to be connected again, and 1500 ms for one heartbeat of the executors. */
-const roomGraceMs = 3000 + 1500;
-/** The store record of a crashed executor expires after this long. */
-const entryMs = 1500;
-const usualBackMs = 2000;
-/** A task under which `crashesToKnow` executors have crashed may be started `mostStartsAfter` more times at most. */
-const crashesToKnow = 3;
-const mostStartsAfter = 2;
+const capacityGraceMs = 3000 + 1500;
+/** A crashed executor's registration in the store expires after this long. */
+const registrationTtlMs = 1500;
+const defaultRestartDelayMs = 2000;
+/** A task under which `crashLimit` executors have crashed may be started `maxStartsAfterCrashLimit` more times at most. */
+const crashLimit = 3;
+const maxStartsAfterCrashLimit = 2;
 
-type PlayedJob = PlannedJob & {
+type SimulatedJob = PlannedJob & {
 	id: string;
 	answers: Array<JobAnswer['type']>;
-	sends: number;
+	sendCount: number;
 	/** The last copy was sent again at once after its connection broke. */
-	isAtOnce: boolean;
+	isSentAtOnce: boolean;
 };
 
 /** The simulated system while a plan runs. */
-class Play {
+class Simulation {
 	readonly clock = new VirtualClock();
-	readonly #taskMs = new Map<string, number>();
-	readonly #taskCpu = new Map<string, number>();
-	readonly #crashMs = new Map<string, number>();
-	readonly #orderRules = new Set<OrderRule>();
-	readonly #moods = new Map<FaultyHost, StoreMood>();
+	readonly #runMsByJob = new Map<string, number>();
+	readonly #cpuByJob = new Map<string, number>();
+	readonly #crashAfterMsByJob = new Map<string, number>();
+	readonly #callFaults = new Set<CallFault>();
+	readonly #storeModes = new Map<FaultyHost, StoreMode>();
 	readonly #executors: FakeExecutors;
 	readonly #hosts: FaultyHost[] = [];
 	readonly #system: FaultySystem;
-	readonly #jobs: PlayedJob[] = [];
+	readonly #jobs: SimulatedJob[] = [];
 
 	constructor(
 		private readonly options: {
 			isGuarded: boolean;
-			stopMs: number;
-			backMs: number;
+			stopDelayMs: number;
+			restartDelayMs: number;
 		},
 		private readonly log: (line: string) => void,
 	) {
@@ -101,15 +101,18 @@
 			network: new FaultyNetwork(this.clock, this.#hosts),
 			store: new FaultyStore(this.clock, this.#executors.executors),
 			executors: this.#executors,
-			moods: this.#moods,
-			orderRules: this.#orderRules,
-			shrinkRules: new Set<ShrinkRule>(),
-			resend: (jobs, when) => {
-				this.#resendAll(jobs, when === 'at-once' ? resendAtOnceMs : resendMs);
+			storeModes: this.#storeModes,
+			callFaults: this.#callFaults,
+			activeShrinks: new Set<ShrinkFault>(),
+			sendAgain: (jobs, when) => {
+				this.#sendAllAgain(
+					jobs,
+					when === 'at-once' ? immediateResendDelayMs : resendDelayMs,
+				);
 			},
 		};
-		for (const place of places) {
-			this.#hosts.push(this.#createHost(place));
+		for (const identity of hostIdentities) {
+			this.#hosts.push(this.#createHost(identity));
 		}
 	}
 
@@ -119,71 +122,81 @@
 		}
 
 		this.#system.network.connect();
-		await this.clock.run(settleMs);
+		await this.clock.run(startUpMs);
 		for (const [i, job] of jobs.entries()) {
-			const played = {
+			const simulatedJob = {
 				...job,
 				id: `job${i}`,
 				answers: [],
-				sends: 0,
-				isAtOnce: false,
+				sendCount: 0,
+				isSentAtOnce: false,
 			};
-			this.#jobs.push(played);
-			this.#taskMs.set(played.id, job.runMs);
-			this.#taskCpu.set(played.id, job.cpu ?? taskCpu);
-			if (job.crashMs !== undefined) {
-				this.#crashMs.set(played.id, job.crashMs);
+			this.#jobs.push(simulatedJob);
+			this.#runMsByJob.set(simulatedJob.id, job.runMs);
+			this.#cpuByJob.set(simulatedJob.id, job.cpu ?? defaultTaskCpu);
+			if (job.crashAfterMs !== undefined) {
+				this.#crashAfterMsByJob.set(simulatedJob.id, job.crashAfterMs);
 			}
 
 			this.clock.schedule(job.at, () => {
-				this.#send(played);
+				this.#send(simulatedJob);
 			});
 		}
 
 		for (const fault of faults) {
-			this.#schedule(fault);
+			this.#scheduleFault(fault);
 		}
 
-		const lastAt = Math.max(0, ...faults.map(({at, forMs}) => at + forMs));
+		const lastFaultEnd = Math.max(
+			0,
+			...faults.map(({at, durationMs}) => at + durationMs),
+		);
 		const lastJobAt = Math.max(0, ...jobs.map(({at}) => at));
-		await this.clock.run(Math.max(lastAt + endMs, lastJobAt + endOfJobsMs));
+		await this.clock.run(
+			Math.max(
+				lastFaultEnd + answerLimitAfterFaultsMs,
+				lastJobAt + answerLimitAfterJobsMs,
+			),
+		);
 		for (const host of this.#hosts) {
 			host.kill();
 		}
 
-		return [...this.#checkPromises()];
+		return [...this.#checkInvariants()];
 	}
 
-	*#checkPromises(): Generator<string> {
+	*#checkInvariants(): Generator<string> {
 		const {runs} = this.#executors;
 		yield* findOverlaps(runs).map(
 			(pair) => `task ran twice at a time: ${pair}`,
 		);
-		yield* findOverfull(this.#executors, roomGraceMs).map(
+		yield* findOverfull(this.#executors, capacityGraceMs).map(
 			(start) => `start exceeded the executor's capacity: ${start}`,
 		);
-		for (const [task, starts] of countStartsAfterCrashes(runs, crashesToKnow)) {
-			if (starts > mostStartsAfter) {
-				yield `task started ${starts} times after ${crashesToKnow} crashes: ${task}`;
+		for (const [task, starts] of countStartsAfterCrashes(runs, crashLimit)) {
+			if (starts > maxStartsAfterCrashLimit) {
+				yield `task started ${starts} times after ${crashLimit} crashes: ${task}`;
 			}
 		}
 
-		for (const {id, tasks, answers, sends, crashMs} of this.#jobs) {
-			if (crashMs === undefined && answers.includes('failed')) {
+		for (const {id, tasks, answers, sendCount, crashAfterMs} of this.#jobs) {
+			if (crashAfterMs === undefined && answers.includes('failed')) {
 				yield `job failed although it crashes no executor: ${id}`;
 			}
 
-			const ofJob = runs.filter(({job}) => job === id);
+			const jobRuns = runs.filter(({job}) => job === id);
 			const refusals = answers.filter((answer) => answer === 'refused');
 			// Refusals say that no task has run; a copy whose connection broke got no answer, and may have run.
-			if (refusals.length === sends && ofJob.length > 0) {
+			if (refusals.length === sendCount && jobRuns.length > 0) {
 				yield `job refused although a task of it ran: ${id}`;
 			}
 
-			const done = new Set(
-				ofJob.filter(({outcome}) => outcome === 'done').map(({index}) => index),
+			const doneTasks = new Set(
+				jobRuns
+					.filter(({outcome}) => outcome === 'done')
+					.map(({index}) => index),
 			);
-			if (answers.at(-1) === 'completed' && done.size < tasks) {
+			if (answers.at(-1) === 'completed' && doneTasks.size < tasks) {
 				yield `job completed although a task of it has not: ${id}`;
 			}
 
@@ -196,48 +209,49 @@
 	#createExecutors(): FakeExecutors {
 		const executors = createFakeExecutors(this.clock, {
 			count: executorCount,
-			taskMs: ({job}) => this.#taskMs.get(job) ?? 0,
+			taskMs: ({job}) => this.#runMsByJob.get(job) ?? 0,
 			decideFate: (call) => this.#decideFate(call),
-			lookMs,
-			stopMs: this.options.stopMs,
+			lookMs: pollIntervalMs,
+			stopMs: this.options.stopDelayMs,
 			isGuarded: this.options.isGuarded,
 			getDemand: (job) => this.#makeDemand(job),
 			findCrashMs: ({job, index}) =>
-				index === 0 ? this.#crashMs.get(job) : undefined,
-			getBackMs: () => this.options.backMs,
+				index === 0 ? this.#crashAfterMsByJob.get(job) : undefined,
+			getBackMs: () => this.options.restartDelayMs,
 			onCrash: (former, next) => {
 				this.#replaceExecutor(former, next);
 			},
 		});
 		for (const [i, fake] of executors.fakes.entries()) {
-			fake.executor.dataCentre = dataCentres[i < executorsOfFirst ? 0 : 1]!;
+			fake.executor.dataCentre =
+				dataCentres[i < firstCentreExecutorCount ? 0 : 1]!;
 		}
 
 		return executors;
 	}
 
 	#makeDemand(job: string): JobRequest['demand'] {
-		const cpu = this.#taskCpu.get(job) ?? taskCpu;
+		const cpu = this.#cpuByJob.get(job) ?? defaultTaskCpu;
 		return {cpu, memoryMb: 64, accelerators: 0};
 	}
 
 	#replaceExecutor(former: Executor, next: Executor): void {
 		const {store} = this.#system;
 		this.log(`${this.clock.now} executor ${former.id} crashes`);
-		this.clock.schedule(entryMs, () => {
+		this.clock.schedule(registrationTtlMs, () => {
 			store.setListed(former.id, false);
 		});
-		this.clock.schedule(this.options.backMs, () => {
+		this.clock.schedule(this.options.restartDelayMs, () => {
 			store.addExecutor(next);
 		});
 	}
 
 	#decideFate({executor}: FakeCall): CallFate {
-		for (const fault of this.#orderRules) {
+		for (const fault of this.#callFaults) {
 			const [name] = executor.split('.', 1);
 			if (name === `e${fault.executor + 1}`) {
-				fault.seen += 1;
-				if (fault.seen % fault.every === 0) {
+				fault.callsSeen += 1;
+				if (fault.callsSeen % fault.every === 0) {
 					return fault.how === 'late'
 						? {type: 'late', ms: fault.lateMs}
 						: {type: fault.how};
@@ -248,20 +262,20 @@
 		return {type: 'answered'};
 	}
 
-	#createHost(place: (typeof places)[number]): FaultyHost {
-		const view = this.#system.store.createView(
-			() => this.#moods.get(host) ?? 'well',
+	#createHost(identity: (typeof hostIdentities)[number]): FaultyHost {
+		const client = this.#system.store.createClient(
+			() => this.#storeModes.get(host) ?? 'normal',
 		);
-		const host: FaultyHost = new FaultyHost(place, {
+		const host: FaultyHost = new FaultyHost(identity, {
 			clock: this.clock,
-			...view,
+			...client,
 			control: this.#executors.control satisfies ExecutorControl,
 			isGuarded: this.options.isGuarded,
-			listOrder: () =>
+			listTakeoverOrder: () =>
 				this.#hosts
 					.filter(
 						({dataCentre, isAlive}) =>
-							dataCentre === place.dataCentre && isAlive,
+							dataCentre === identity.dataCentre && isAlive,
 					)
 					.map(({key}) => key),
 			peers: {
@@ -276,7 +290,7 @@
 			},
 			log: (message, fields) => {
 				this.log(
-					`${this.clock.now} ${place.host} ${message} ${JSON.stringify(fields)}`,
+					`${this.clock.now} ${identity.host} ${message} ${JSON.stringify(fields)}`,
 				);
 			},
 		});
@@ -284,13 +298,13 @@
 	}
 
 	/** Sends a caller's job to its host, or to the next one that is alive; each copy that is sent again starts one host further. */
-	#send(job: PlayedJob): void {
-		const first = (job.host + job.sends) % hostCount;
+	#send(job: SimulatedJob): void {
+		const first = (job.host + job.sendCount) % hostCount;
 		const order = [...this.#hosts.slice(first), ...this.#hosts];
 		const host = order.find(({isAlive}) => isAlive);
-		job.sends += 1;
+		job.sendCount += 1;
 		if (!host) {
-			this.#resend(job);
+			this.#sendAgain(job);
 			return;
 		}
 
@@ -299,22 +313,22 @@
 			this.log(`${this.clock.now} caller of ${job.id} gets ${answer.type}`);
 			job.answers.push(answer.type);
 			if (answer.type === 'given-up') {
-				this.#resend(job);
+				this.#sendAgain(job);
 			}
 		});
 	}
 
-	#resend(job: PlayedJob, afterMs = resendMs): void {
+	#sendAgain(job: SimulatedJob, afterMs = resendDelayMs): void {
 		this.clock.schedule(afterMs, () => {
-			job.isAtOnce = afterMs === resendAtOnceMs;
+			job.isSentAtOnce = afterMs === immediateResendDelayMs;
 			this.#send(job);
 		});
 	}
 
-	#resendAll(ids: readonly string[], afterMs: number): void {
+	#sendAllAgain(ids: readonly string[], afterMs: number): void {
 		for (const job of this.#jobs) {
 			if (ids.includes(job.id)) {
-				this.#resend(job, afterMs);
+				this.#sendAgain(job, afterMs);
 			}
 		}
 	}
@@ -324,9 +338,9 @@
 		tasks,
 		runMs,
 		allowanceMs,
-		isAtOnce,
+		isSentAtOnce,
 		isOnNewConnection = false,
-	}: PlayedJob): JobRequest {
+	}: SimulatedJob): JobRequest {
 		return {
 			id,
 			queue: {
@@ -336,7 +350,7 @@
 				service: 'meals',
 				priority: 0,
 				maxAttempts: 3,
-				timeoutMs: timeLeftMs,
+				timeoutMs: callerTimeoutMs,
 				allowanceMs,
 				slackFactor: 2,
 			},
@@ -344,27 +358,34 @@
 			count: tasks,
 			demand: this.#makeDemand(id),
 			declaredMs: runMs,
-			timeLeftMs,
-			requestsBefore: isAtOnce || isOnNewConnection ? 0 : 1,
+			timeLeftMs: callerTimeoutMs,
+			requestsBefore: isSentAtOnce || isOnNewConnection ? 0 : 1,
 		};
 	}
 
-	#schedule(fault: PlannedFault): void {
+	#scheduleFault(fault: PlannedFault): void {
 		this.clock.schedule(fault.at, () => {
 			this.log(`${this.clock.now} fault ${JSON.stringify(fault)}`);
-			const end = beginFault(fault, this.#system);
-			this.clock.schedule(fault.forMs, end);
+			const end = startFault(fault, this.#system);
+			this.clock.schedule(fault.durationMs, end);
 		});
 	}
 }
 
 /** Simulates the plan; returns a line for each violation of an invariant, none if all held. */
-export async function playPlan(
+export async function runPlan(
 	plan: FaultPlan,
 	log: (line: string) => void = doNothing,
 ): Promise<string[]> {
-	const {isUnguarded = false, stopMs = 0, backMs = usualBackMs} = plan;
-	return new Play({isGuarded: !isUnguarded, stopMs, backMs}, log).run(plan);
+	const {
+		isUnguarded = false,
+		stopDelayMs = 0,
+		restartDelayMs = defaultRestartDelayMs,
+	} = plan;
+	return new Simulation(
+		{isGuarded: !isUnguarded, stopDelayMs, restartDelayMs},
+		log,
+	).run(plan);
 }
 
 function doNothing(): void {
--- a/packages/host/src/scheduling/faulty/begin-fault.fixture.ts
+++ b/packages/host/src/scheduling/faulty/start-fault.fixture.ts
@@ -9,14 +9,14 @@
 import {dataCentres, type PlannedFault} from './fault-plan.fixture.js';
 import {type FaultyHost} from './faulty-host.fixture.js';
 import {type FaultyNetwork} from './faulty-network.fixture.js';
-import {type FaultyStore, type StoreMood} from './faulty-store.fixture.js';
+import {type FaultyStore, type StoreMode} from './faulty-store.fixture.js';
 
-/** Calls to an executor that fail; `seen` counts the calls that were made while the fault lasts. */
-export type OrderRule = Extract<PlannedFault, {kind: 'orders'}> & {
-	seen: number;
+/** Calls to an executor that fail; `callsSeen` counts the calls that were made while the fault lasts. */
+export type CallFault = Extract<PlannedFault, {kind: 'faulty-calls'}> & {
+	callsSeen: number;
 };
 
-export type ShrinkRule = Extract<PlannedFault, {kind: 'shrink'}>;
+export type ShrinkFault = Extract<PlannedFault, {kind: 'shrink'}>;
 
 export type FaultySystem = {
 	clock: VirtualClock;
@@ -25,99 +25,99 @@
 	store: FaultyStore;
 	executors: FakeExecutors;
 	/** How the store treats a host; it answers hosts that are not in the map normally. */
-	moods: Map<FaultyHost, StoreMood>;
-	orderRules: Set<OrderRule>;
-	shrinkRules: Set<ShrinkRule>;
+	storeModes: Map<FaultyHost, StoreMode>;
+	callFaults: Set<CallFault>;
+	activeShrinks: Set<ShrinkFault>;
 	/** Has the callers of these jobs, whose connections broke, send them again; `at-once`: without the usual delay. */
-	resend: (jobs: readonly string[], when?: 'at-once') => void;
+	sendAgain: (jobs: readonly string[], when?: 'at-once') => void;
 };
 
 /** Starts a fault; the returned function ends it. */
-export function beginFault(
+export function startFault(
 	fault: PlannedFault,
 	system: FaultySystem,
 ): () => void {
-	const {hosts, moods, orderRules} = system;
+	const {hosts, storeModes, callFaults} = system;
 	switch (fault.kind) {
 		case 'kill':
-		case 'kill-requests':
+		case 'kill-resend-at-once':
 		case 'freeze':
 		case 'suspend':
-		case 'plan-stop':
+		case 'graceful-stop':
 		case 'reset-callers': {
-			return disturbHost(fault, hosts[fault.host]!, system);
+			return startHostFault(fault, hosts[fault.host]!, system);
 		}
 
-		case 'reset-requests': {
-			return resetRequests(fault, system);
+		case 'reset-resend-at-once': {
+			return startConnectionReset(fault, system);
 		}
 
 		case 'hand-over': {
 			const holder = hosts.find(
 				({isHolder, dataCentre}) => isHolder && dataCentre === dataCentres[0],
 			);
-			holder?.planStop(true);
+			holder?.setStopping(true);
 			return () => {
-				holder?.planStop(false);
+				holder?.setStopping(false);
 			};
 		}
 
 		case 'cut':
-		case 'hold-up':
-		case 'hold-up-connection':
+		case 'delay-messages':
+		case 'delay-connection':
 		case 'silent-connection': {
-			return disturbLink(fault, system);
+			return startLinkFault(fault, system);
 		}
 
 		case 'store': {
 			const host = hosts[fault.host]!;
-			moods.set(host, fault.how);
+			storeModes.set(host, fault.how);
 			return () => {
-				moods.delete(host);
+				storeModes.delete(host);
 			};
 		}
 
 		case 'unlist':
 		case 'silence': {
-			return disturbExecutor(fault, system);
+			return startExecutorFault(fault, system);
 		}
 
 		case 'shrink': {
-			return shrinkExecutor(fault, system);
+			return startShrink(fault, system);
 		}
 
-		case 'orders': {
-			const rule = {...fault, seen: 0};
-			orderRules.add(rule);
+		case 'faulty-calls': {
+			const callFault = {...fault, callsSeen: 0};
+			callFaults.add(callFault);
 			return () => {
-				orderRules.delete(rule);
+				callFaults.delete(callFault);
 			};
 		}
 	}
 }
 
-function disturbHost(
+function startHostFault(
 	fault: Extract<
 		PlannedFault,
 		{
 			kind:
 				| 'kill'
-				| 'kill-requests'
+				| 'kill-resend-at-once'
 				| 'freeze'
 				| 'suspend'
-				| 'plan-stop'
+				| 'graceful-stop'
 				| 'reset-callers';
 		}
 	>,
 	host: FaultyHost,
-	{network, resend}: FaultySystem,
+	{network, sendAgain}: FaultySystem,
 ): () => void {
-	const {kind, forMs} = fault;
+	const {kind, durationMs} = fault;
 	switch (fault.kind) {
 		case 'kill':
-		case 'kill-requests': {
-			resend(host.kill(), kind === 'kill' ? undefined : 'at-once');
-			network.closeAll(host);
+		case 'kill-resend-at-once': {
+			sendAgain(host.kill(), kind === 'kill' ? undefined : 'at-once');
+			network.closeAllOf(host);
 			return () => {
 				if (!host.isAlive) {
 					host.start();
@@ -127,77 +127,77 @@
 		}
 
 		case 'freeze': {
-			host.freeze(forMs);
+			host.freeze(durationMs);
 			return doNothing;
 		}
 
 		case 'suspend': {
-			host.suspend(forMs);
+			host.suspend(durationMs);
 			return doNothing;
 		}
 
-		case 'plan-stop': {
-			host.planStop(true);
+		case 'graceful-stop': {
+			host.setStopping(true);
 			return () => {
-				host.planStop(false);
+				host.setStopping(false);
 			};
 		}
 
 		case 'reset-callers': {
-			resend(host.resetCallers(fault.noticeMs));
+			sendAgain(host.resetCallers(fault.noticeDelayMs));
 			return doNothing;
 		}
 	}
 }
 
-function resetRequests(
-	{host, noticeMs}: Extract<PlannedFault, {kind: 'reset-requests'}>,
-	{hosts, network, resend}: FaultySystem,
+function startConnectionReset(
+	{host, noticeDelayMs}: Extract<PlannedFault, {kind: 'reset-resend-at-once'}>,
+	{hosts, network, sendAgain}: FaultySystem,
 ): () => void {
-	const reset = hosts[host]!;
-	resend(reset.resetCallers(noticeMs), 'at-once');
-	network.cutOff(reset, true);
+	const resetHost = hosts[host]!;
+	sendAgain(resetHost.resetCallers(noticeDelayMs), 'at-once');
+	network.setIsolated(resetHost, true);
 	return () => {
-		network.cutOff(reset, false);
+		network.setIsolated(resetHost, false);
 	};
 }
 
-function disturbLink(
+function startLinkFault(
 	fault: Extract<
 		PlannedFault,
-		{kind: 'cut' | 'hold-up' | 'hold-up-connection' | 'silent-connection'}
+		{kind: 'cut' | 'delay-messages' | 'delay-connection' | 'silent-connection'}
 	>,
 	{hosts, network, clock}: FaultySystem,
 ): () => void {
 	const from = hosts[fault.host]!;
 	const to = hosts[fault.peer]!;
-	const until = clock.now + fault.forMs;
+	const until = clock.now + fault.durationMs;
 	if (from === to) {
 		return doNothing;
 	}
 
-	if (fault.kind === 'hold-up') {
-		network.holdUp(from, to, until);
+	if (fault.kind === 'delay-messages') {
+		network.setDelay(from, to, until);
 		return doNothing;
 	}
 
-	if (fault.kind === 'hold-up-connection') {
-		network.holdUpConnection(from, to, {way: fault.way, until});
+	if (fault.kind === 'delay-connection') {
+		network.setConnectionDelay(from, to, {direction: fault.direction, until});
 		return doNothing;
 	}
 
 	if (fault.kind === 'silent-connection') {
-		network.silence(from, to);
+		network.markSilent(from, to);
 		return doNothing;
 	}
 
-	network.cut(from, to, true);
+	network.setCut(from, to, true);
 	return () => {
-		network.cut(from, to, false);
+		network.setCut(from, to, false);
 	};
 }
 
-function disturbExecutor(
+function startExecutorFault(
 	{kind, executor}: Extract<PlannedFault, {kind: 'unlist' | 'silence'}>,
 	{executors, store}: FaultySystem,
 ): () => void {
@@ -217,26 +217,26 @@
 }
 
 /** While several of these faults overlap on one executor, the smallest share applies. */
-function shrinkExecutor(
-	fault: ShrinkRule,
-	{executors, store, shrinkRules}: FaultySystem,
+function startShrink(
+	fault: ShrinkFault,
+	{executors, store, activeShrinks}: FaultySystem,
 ): () => void {
 	const fake = executors.fakes[fault.executor]!;
-	const full: TaskDemand = fake.said[0]!.capacity;
-	const say = () => {
-		const shares = [...shrinkRules]
+	const fullCapacity: TaskDemand = fake.said[0]!.capacity;
+	const publishCapacity = () => {
+		const shares = [...activeShrinks]
 			.filter(({executor}) => executor === fault.executor)
 			.map(({share}) => share);
-		const cpu = Math.floor(full.cpu * Math.min(1, ...shares));
-		const {capacity} = executors.setCapacity(fake, {...full, cpu});
+		const cpu = Math.floor(fullCapacity.cpu * Math.min(1, ...shares));
+		const {capacity} = executors.setCapacity(fake, {...fullCapacity, cpu});
 		store.setCapacity(fake.executor.id, capacity);
 	};
 
-	shrinkRules.add(fault);
-	say();
+	activeShrinks.add(fault);
+	publishCapacity();
 	return () => {
-		shrinkRules.delete(fault);
-		say();
+		activeShrinks.delete(fault);
+		publishCapacity();
 	};
 }
 
