--- a/packages/host/src/scheduling/faulty/fault-plan.fixture.ts
+++ b/packages/host/src/scheduling/faulty/fault-plan.fixture.ts
@@ -1,6 +1,9 @@
 /**
-What happens in one play of a small system: which jobs come, and what goes wrong when. Drawn by fast-check, which makes
-a plan that breaks a promise smaller until nothing can be left out.
+Plans for simulations of a small system: which jobs callers send, and which faults occur when. fast-check generates the
+plans at random, and shrinks a plan that violates an invariant until nothing can be left out.
+
+A job's entry host is the host that accepted it from the caller. A group is the executors of one data centre; its holder is the
+host that currently schedules it.
 */
 import fc from 'fast-check';
 
@@ -8,63 +11,66 @@
 /** Two hosts in each data centre, two executors in the first and one in the second. */
 export const hostCount = 4;
 export const executorCount = 3;
-export const executorsOfFirst = 2;
+export const firstCentreExecutorCount = 2;
 
 export type PlannedJob = {
 	at: number;
 	host: number;
 	tasks: number;
 	runMs: number;
-	/** What the objective allows beyond the run: with little, tasks are given back. */
+	/** What the latency objective allows beyond the run time; when it is short, schedulers return tasks to the entry host. */
 	allowanceMs: number;
-	/** It comes as the first request on its caller's connection; if not, only copies that are sent again at once do. */
+	/** The job is the first request on its caller's connection; otherwise only a copy that is sent again at once is. */
 	isOnNewConnection?: boolean;
-	/** What each task takes, thousandths of a core. */
+	/** Demand of each task, thousandths of a core. */
 	cpu?: number;
-	/** Its first task crashes each executor so long after its start. */
-	crashMs?: number;
+	/** The first task of the job crashes each executor that runs it this long after the start. */
+	crashAfterMs?: number;
 };
 
-/** Acts from `at` for `forMs`, milliseconds from the begin of the play. */
-export type PlannedFault = {at: number; forMs: number} & (
-	| {kind: 'kill' | 'freeze' | 'plan-stop'; host: number}
-	/** Connections of the host's callers break, which it reads so much later. */
-	| {kind: 'reset-callers'; host: number; noticeMs?: number}
-	/** The host stands still, and its steady clock with it: afterwards it has no trace of that time but its time of day. */
+/** Starts at `at`, milliseconds after the groups have got their first holders, and lasts for `durationMs`. */
+export type PlannedFault = {at: number; durationMs: number} & (
+	| {kind: 'kill' | 'freeze' | 'graceful-stop'; host: number}
+	/** Connections of the host's callers break; the host notices `noticeDelayMs` later. */
+	| {kind: 'reset-callers'; host: number; noticeDelayMs?: number}
+	/** The host's machine is suspended, and its monotonic clock stops: afterwards only the wall clock and the boot time show it. */
 	| {kind: 'suspend'; host: number}
-	/** The host dies, and its callers send again at once. */
-	| {kind: 'kill-requests'; host: number}
+	/** The host dies, and its callers send their jobs again at once. */
+	| {kind: 'kill-resend-at-once'; host: number}
 	/**
-	Connections of the host's callers break under their requests. The callers send again at once, over new connections; the host
-	reads of it only afterwards, and its own connections to others are broken for `forMs`.
+	Connections of the host's callers break while requests are pending. The callers send them again at once, over new connections;
+	the host notices `noticeDelayMs` later, and its connections to other hosts are broken for `durationMs`.
 	*/
-	| {kind: 'reset-requests'; host: number; noticeMs: number}
-	/** Whoever holds the first group then is to be stopped: another host takes it at once. */
+	| {kind: 'reset-resend-at-once'; host: number; noticeDelayMs: number}
+	/** The holder of the first group at that time prepares to stop, so another host takes the group at once. */
 	| {kind: 'hand-over'}
-	/** Connections between two hosts break, and none is made. */
+	/** Connections between two hosts break, and no new one can be made. */
 	| {kind: 'cut'; host: number; peer: number}
-	/** Messages one way arrive only afterwards; the connection stays open. */
-	| {kind: 'hold-up'; host: number; peer: number}
-	/** The same on one connection only, the one that the host has made to its peer: what it asks there, or what it is answered. */
+	/** Messages from `host` to `peer` arrive only when the fault ends; the connections stay open. */
+	| {kind: 'delay-messages'; host: number; peer: number}
+	/**
+	The same on one connection only, the one that `host` opened to `peer`: either the messages of `host` (`asked`) or those of
+	`peer` (`answered`).
+	*/
 	| {
-			kind: 'hold-up-connection';
+			kind: 'delay-connection';
 			host: number;
 			peer: number;
-			way: 'asked' | 'answered';
+			direction: 'asked' | 'answered';
 	  }
-	/** The connection that the host has made to its peer carries nothing more; both notice by its silence. */
+	/** The connection that `host` opened to `peer` delivers nothing more; both hosts notice only because nothing arrives. */
 	| {kind: 'silent-connection'; host: number; peer: number}
-	/** The store turns a host away, or loses the answers of what it does for it. */
+	/** The store refuses the host's calls, or carries them out and loses its answers. */
 	| {kind: 'store'; host: number; how: 'refuses' | 'loses-answers'}
-	/** The store has no entry of the executor. */
+	/** The executor's registration is missing from the store. */
 	| {kind: 'unlist'; executor: number}
-	/** The executor can't be reached. */
+	/** The executor can't be reached: calls get no answer and have no effect. */
 	| {kind: 'silence'; executor: number}
-	/** The executor has this share of its room, and says so. */
+	/** The executor has only this share of its CPU capacity, and publishes that. */
 	| {kind: 'shrink'; executor: number; share: number}
-	/** Each `every`-th order to the executor fares badly. */
+	/** Each `every`-th call to the executor fails: it is lost, only its answer is lost, or it gets no answer and takes effect `lateMs` later. */
 	| {
-			kind: 'orders';
+			kind: 'faulty-calls';
 			executor: number;
 			how: 'lost' | 'answer-lost' | 'late';
 			every: number;
@@ -75,34 +81,34 @@
 export type FaultPlan = {
 	jobs: PlannedJob[];
 	faults: PlannedFault[];
-	/** Executors start whatever they are told to, also without room for it. */
+	/** Executors accept starts that exceed their capacity. */
 	isUnguarded?: boolean;
-	/** Runs go on so long after a stop was answered. */
-	stopMs?: number;
-	/** How long a crashed executor is away. */
-	backMs?: number;
+	/** A run goes on for this long after its stop was answered. */
+	stopDelayMs?: number;
+	/** Time until a crashed executor is back. */
+	restartDelayMs?: number;
 };
 
-/** Jobs come and faults begin within this span. */
-const spanMs = 2400;
-/** Faults begin near one another: what breaks a promise is mostly two of them that meet. */
-const beatMs = 800;
-const spreadMs = 250;
+/** Jobs arrive and faults start within this time. */
+const planSpanMs = 2400;
+/** Faults start in clusters, this far apart: it is mostly two faults at nearly the same time that violate an invariant. */
+const clusterIntervalMs = 800;
+const clusterSpreadMs = 250;
 const host = fc.nat(hostCount - 1);
 const executor = fc.nat(executorCount - 1);
-const at = fc
-	.tuple(fc.nat(spanMs / beatMs), fc.nat(spreadMs))
-	.map(([beat, offset]) => beat * beatMs + offset);
-const span = {
-	at,
-	forMs: fc.oneof(
+const clusteredStart = fc
+	.tuple(fc.nat(planSpanMs / clusterIntervalMs), fc.nat(clusterSpreadMs))
+	.map(([cluster, offset]) => cluster * clusterIntervalMs + offset);
+const clusteredTiming = {
+	at: clusteredStart,
+	durationMs: fc.oneof(
 		fc.integer({min: 50, max: 400}),
 		fc.integer({min: 400, max: 2500}),
 	),
 };
 
 const job = fc.record({
-	at: fc.nat(spanMs),
+	at: fc.nat(planSpanMs),
 	host,
 	tasks: fc.integer({min: 1, max: 3}),
 	runMs: fc.constantFrom(60, 600, 1500, 2500),
@@ -111,42 +117,45 @@
 });
 
 const hostFault = fc.record({
-	...span,
+	...clusteredTiming,
 	kind: fc.constantFrom(
 		'kill' as const,
 		'freeze' as const,
 		'suspend' as const,
-		'plan-stop' as const,
+		'graceful-stop' as const,
 		'reset-callers' as const,
 	),
 	host,
 });
 
-const handOver = fc.record({...span, kind: fc.constant('hand-over' as const)});
+const handOver = fc.record({
+	...clusteredTiming,
+	kind: fc.constant('hand-over' as const),
+});
 
 const linkFault = fc.record({
-	...span,
-	kind: fc.constantFrom('cut' as const, 'hold-up' as const),
+	...clusteredTiming,
+	kind: fc.constantFrom('cut' as const, 'delay-messages' as const),
 	host,
 	peer: host,
 });
 
 const storeFault = fc.record({
-	...span,
+	...clusteredTiming,
 	kind: fc.constant('store' as const),
 	host,
 	how: fc.constantFrom('refuses' as const, 'loses-answers' as const),
 });
 
 const executorFault = fc.record({
-	...span,
+	...clusteredTiming,
 	kind: fc.constantFrom('unlist' as const, 'silence' as const),
 	executor,
 });
 
-const orderFault = fc.record({
-	...span,
-	kind: fc.constant('orders' as const),
+const callFault = fc.record({
+	...clusteredTiming,
+	kind: fc.constant('faulty-calls' as const),
 	executor,
 	how: fc.constantFrom(
 		'lost' as const,
@@ -157,25 +166,25 @@
 	lateMs: fc.integer({min: 200, max: 4000}),
 });
 
-/** Also where all faults of a plan follow one another, links are made anew before their groups count as out of reach. */
-const resetRequests = fc.record({
-	at: fc.nat(spanMs),
-	forMs: fc.integer({min: 0, max: 45}),
-	kind: fc.constant('reset-requests' as const),
+/** Short enough that connections are restored before groups count as unreachable, even if all faults of a plan follow one another. */
+const connectionReset = fc.record({
+	at: fc.nat(planSpanMs),
+	durationMs: fc.integer({min: 0, max: 45}),
+	kind: fc.constant('reset-resend-at-once' as const),
 	host,
-	noticeMs: fc.integer({min: 0, max: 300}),
+	noticeDelayMs: fc.integer({min: 0, max: 300}),
 });
 
 const suspension = fc.record({
-	...span,
+	...clusteredTiming,
 	kind: fc.constant('suspend' as const),
 	host,
 });
 
-/** A group that changes hands while orders are lost is where most goes wrong. */
-const fault: fc.Arbitrary<PlannedFault> = fc.oneof(
+/** The weights favour takeovers of a group while calls to executors are lost: most violations occur there. */
+const anyFault: fc.Arbitrary<PlannedFault> = fc.oneof(
 	{weight: 3, arbitrary: handOver},
-	{weight: 3, arbitrary: orderFault},
+	{weight: 3, arbitrary: callFault},
 	{weight: 2, arbitrary: executorFault},
 	{weight: 2, arbitrary: hostFault},
 	{weight: 1, arbitrary: linkFault},
@@ -184,12 +193,12 @@
 
 export const faultPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: fc.array(job, {minLength: 1, maxLength: 6}),
-	faults: fc.array(fault, {maxLength: 6}),
+	faults: fc.array(anyFault, {maxLength: 6}),
 });
 
 const resendJobs = fc.array(
 	fc.record({
-		at: fc.nat(spanMs),
+		at: fc.nat(planSpanMs),
 		host,
 		tasks: fc.integer({min: 1, max: 4}),
 		runMs: fc.constantFrom(60, 600, 1500),
@@ -199,64 +208,64 @@
 	{minLength: 1, maxLength: 8},
 );
 
-/** Callers that send again at once, while groups change hands and orders are lost; hosts that live are in reach of one another. */
+/** Callers send jobs again at once while groups change holders and calls are lost; hosts that are alive can reach one another. */
 export const resendPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: resendJobs,
 	faults: fc.array(
 		fc.oneof(
-			{weight: 5, arbitrary: resetRequests},
+			{weight: 5, arbitrary: connectionReset},
 			{weight: 1, arbitrary: handOver},
-			{weight: 2, arbitrary: orderFault},
+			{weight: 2, arbitrary: callFault},
 			{weight: 1, arbitrary: executorFault},
 		),
 		{minLength: 1, maxLength: 6},
 	),
 });
 
-const lostHost = fc.record({
-	...span,
-	kind: fc.constant('kill-requests' as const),
+const hostLoss = fc.record({
+	...clusteredTiming,
+	kind: fc.constant('kill-resend-at-once' as const),
 	host,
 });
 
-const lostLink = fc.record({
-	...span,
+const linkCut = fc.record({
+	...clusteredTiming,
 	kind: fc.constant('cut' as const),
 	host,
 	peer: host,
 });
 
-/** The same where hosts die as well, or lose the connection to one another. */
-export const lossPlans: fc.Arbitrary<FaultPlan> = fc.record({
+/** As `resendPlans`; in addition, hosts die or lose the connections to one another. */
+export const hostLossPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: resendJobs,
 	faults: fc.array(
 		fc.oneof(
-			{weight: 4, arbitrary: resetRequests},
-			{weight: 2, arbitrary: lostHost},
-			{weight: 2, arbitrary: lostLink},
+			{weight: 4, arbitrary: connectionReset},
+			{weight: 2, arbitrary: hostLoss},
+			{weight: 2, arbitrary: linkCut},
 			{weight: 1, arbitrary: handOver},
-			{weight: 1, arbitrary: orderFault},
+			{weight: 1, arbitrary: callFault},
 			{weight: 1, arbitrary: executorFault},
 		),
 		{minLength: 1, maxLength: 6},
 	),
 });
 
-/** What hosts tell the entry is held up, while the entry is heard; now and then another pair. */
-function drawHeldUpLink(entry: number) {
+/** Mostly delays messages from another host to the entry host, while those of the entry host arrive; at times between another pair. */
+function drawMessageDelay(entry: number) {
 	return fc.record({
-		at: fc.nat(spreadMs),
-		forMs: fc.integer({min: 500, max: 3500}),
-		kind: fc.constant('hold-up' as const),
+		at: fc.nat(clusterSpreadMs),
+		durationMs: fc.integer({min: 500, max: 3500}),
+		kind: fc.constant('delay-messages' as const),
 		host,
 		peer: fc.oneof({weight: 3, arbitrary: fc.constant(entry)}, host),
 	});
 }
 
-/** Callers on new connections, one after the other: their entry says something to all groups all the time. */
-function drawBusyJobs(entry: number) {
+/** Callers on new connections, one after another, so that their entry host keeps sending messages to all groups. */
+function drawFrequentJobs(entry: number) {
 	return fc.integer({min: 80, max: 400}).map((everyMs) =>
-		Array.from({length: Math.floor(spanMs / everyMs)}, (_, i) => ({
+		Array.from({length: Math.floor(planSpanMs / everyMs)}, (_, i) => ({
 			at: (i + 1) * everyMs,
 			host: entry,
 			tasks: 1,
@@ -269,7 +278,7 @@
 
 function drawLongJobs(entry: number) {
 	const longJob = fc.record({
-		at: fc.nat(spreadMs),
+		at: fc.nat(clusterSpreadMs),
 		host: fc.constant(entry),
 		tasks: fc.integer({min: 1, max: 3}),
 		runMs: fc.constantFrom(600, 1500, 2200),
@@ -279,27 +288,28 @@
 	return fc.array(longJob, {minLength: 1, maxLength: 2});
 }
 
-/** Long jobs beside many short ones at one entry, while what hosts tell one another is held up, mostly one way. */
-export const heldUpPlans: fc.Arbitrary<FaultPlan> = host.chain((entry) =>
-	fc.record({
-		jobs: fc
-			.tuple(drawLongJobs(entry), drawBusyJobs(entry))
-			.map((jobs) => jobs.flat()),
-		faults: fc.array(
-			fc.oneof(
-				{weight: 5, arbitrary: drawHeldUpLink(entry)},
-				{weight: 1, arbitrary: lostLink},
-				{weight: 1, arbitrary: hostFault},
-				{weight: 1, arbitrary: handOver},
-				{weight: 1, arbitrary: orderFault},
+/** Long jobs and many short ones at one entry host, while messages between hosts are delayed, mostly in one direction. */
+export const delayedMessagePlans: fc.Arbitrary<FaultPlan> = host.chain(
+	(entry) =>
+		fc.record({
+			jobs: fc
+				.tuple(drawLongJobs(entry), drawFrequentJobs(entry))
+				.map((jobs) => jobs.flat()),
+			faults: fc.array(
+				fc.oneof(
+					{weight: 5, arbitrary: drawMessageDelay(entry)},
+					{weight: 1, arbitrary: linkCut},
+					{weight: 1, arbitrary: hostFault},
+					{weight: 1, arbitrary: handOver},
+					{weight: 1, arbitrary: callFault},
+				),
+				{minLength: 1, maxLength: 5},
 			),
-			{minLength: 1, maxLength: 5},
-		),
-	}),
+		}),
 );
 
-/** Machines that are suspended while hosts die, and while links between hosts break or hold messages up. */
-export const suspendPlans: fc.Arbitrary<FaultPlan> = fc.record({
+/** Machines are suspended while hosts die and connections between hosts break or delay messages. */
+export const suspensionPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: fc.array(job, {minLength: 1, maxLength: 6}),
 	faults: fc.array(
 		fc.oneof(
@@ -316,42 +326,42 @@
 
 const connectionFault = fc.oneof(
 	fc.record({
-		...span,
-		kind: fc.constant('hold-up-connection' as const),
+		...clusteredTiming,
+		kind: fc.constant('delay-connection' as const),
 		host,
 		peer: host,
-		way: fc.constantFrom('asked' as const, 'answered' as const),
+		direction: fc.constantFrom('asked' as const, 'answered' as const),
 	}),
 	fc.record({
-		...span,
+		...clusteredTiming,
 		kind: fc.constant('silent-connection' as const),
 		host,
 		peer: host,
 	}),
 );
 
-/** Single connections that hold messages up or fall silent, while the others between the same hosts go on. */
-export const connectionPlans: fc.Arbitrary<FaultPlan> = fc.record({
+/** Single connections delay messages or go silent, while the other connection between the same hosts works. */
+export const connectionFaultPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: fc.array(job, {minLength: 1, maxLength: 6}),
 	faults: fc.array(
 		fc.oneof(
 			{weight: 5, arbitrary: connectionFault},
 			{weight: 3, arbitrary: handOver},
 			{weight: 1, arbitrary: hostFault},
-			{weight: 1, arbitrary: orderFault},
+			{weight: 1, arbitrary: callFault},
 			{weight: 1, arbitrary: executorFault},
 		),
 		{minLength: 1, maxLength: 6},
 	),
 });
 
-/** Room that has shrunk counts some seconds later, so these plans are longer. */
-const shrinkSpanMs = 9000;
-const atInShrink = fc.nat(shrinkSpanMs);
+/** Reduced capacity is enforced only some seconds later, so these plans are longer. */
+const longPlanSpanMs = 9000;
+const longPlanStart = fc.nat(longPlanSpanMs);
 
 const shrink = fc.record({
-	at: atInShrink,
-	forMs: fc.oneof(
+	at: longPlanStart,
+	durationMs: fc.oneof(
 		fc.integer({min: 100, max: 2000}),
 		fc.integer({min: 5000, max: 9000}),
 	),
@@ -360,8 +370,8 @@
 	share: fc.constantFrom(0, 0.3, 0.5, 0.9),
 });
 
-const jobBesideShrink = fc.record({
-	at: atInShrink,
+const jobDuringShrink = fc.record({
+	at: longPlanStart,
 	host,
 	tasks: fc.integer({min: 1, max: 4}),
 	runMs: fc.constantFrom(60, 600, 1500, 2500),
@@ -370,40 +380,40 @@
 	cpu: fc.constantFrom(3000, 9000, 14_000, 28_000),
 });
 
-function moveLater(fault: fc.Arbitrary<PlannedFault>) {
+function drawInLongPlan(fault: fc.Arbitrary<PlannedFault>) {
 	return fc
-		.tuple(fault, atInShrink)
+		.tuple(fault, longPlanStart)
 		.map(([one, at]): PlannedFault => ({...one, at}));
 }
 
-const slowShrinkPlans: fc.Arbitrary<FaultPlan> = fc.record({
-	jobs: fc.array(jobBesideShrink, {minLength: 4, maxLength: 16}),
+const longShrinkPlans: fc.Arbitrary<FaultPlan> = fc.record({
+	jobs: fc.array(jobDuringShrink, {minLength: 4, maxLength: 16}),
 	faults: fc
 		.tuple(
 			fc.array(shrink, {minLength: 1, maxLength: 4}),
 			fc.array(
 				fc.oneof(
-					{weight: 3, arbitrary: moveLater(handOver)},
-					{weight: 3, arbitrary: moveLater(orderFault)},
-					{weight: 2, arbitrary: moveLater(hostFault)},
-					{weight: 1, arbitrary: moveLater(executorFault)},
-					{weight: 1, arbitrary: moveLater(storeFault)},
+					{weight: 3, arbitrary: drawInLongPlan(handOver)},
+					{weight: 3, arbitrary: drawInLongPlan(callFault)},
+					{weight: 2, arbitrary: drawInLongPlan(hostFault)},
+					{weight: 1, arbitrary: drawInLongPlan(executorFault)},
+					{weight: 1, arbitrary: drawInLongPlan(storeFault)},
 				),
 				{maxLength: 6},
 			),
 		)
 		.map((faults) => faults.flat()),
 	isUnguarded: fc.boolean(),
-	stopMs: fc.constantFrom(0, 40),
+	stopDelayMs: fc.constantFrom(0, 40),
 });
 
-/** Large tasks run when the group changes hands, and what comes in the next moments finds a holder that knows little of them. */
+/** Large tasks run while the group changes holders, and the jobs that arrive right after meet a holder that does not know of all runs yet. */
 const takeoverPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: fc
 		.tuple(
 			fc.array(
 				fc.record({
-					at: fc.nat(spreadMs),
+					at: fc.nat(clusterSpreadMs),
 					host,
 					tasks: fc.integer({min: 1, max: 2}),
 					runMs: fc.constantFrom(1500, 2500),
@@ -414,7 +424,10 @@
 			),
 			fc.array(
 				fc.record({
-					at: fc.integer({min: beatMs, max: beatMs + 2 * spreadMs}),
+					at: fc.integer({
+						min: clusterIntervalMs,
+						max: clusterIntervalMs + 2 * clusterSpreadMs,
+					}),
 					host,
 					tasks: fc.integer({min: 1, max: 4}),
 					runMs: fc.constantFrom(60, 600),
@@ -428,8 +441,11 @@
 	faults: fc
 		.tuple(
 			fc.record({
-				at: fc.integer({min: beatMs, max: beatMs + spreadMs}),
-				forMs: fc.constant(2500),
+				at: fc.integer({
+					min: clusterIntervalMs,
+					max: clusterIntervalMs + clusterSpreadMs,
+				}),
+				durationMs: fc.constant(2500),
 				kind: fc.constant('hand-over' as const),
 			}),
 			fc.array(
@@ -437,10 +453,13 @@
 					.tuple(
 						fc.oneof(
 							{weight: 3, arbitrary: hostFault},
-							{weight: 1, arbitrary: orderFault},
+							{weight: 1, arbitrary: callFault},
 							{weight: 1, arbitrary: linkFault},
 						),
-						fc.integer({min: beatMs - spreadMs, max: beatMs + spreadMs}),
+						fc.integer({
+							min: clusterIntervalMs - clusterSpreadMs,
+							max: clusterIntervalMs + clusterSpreadMs,
+						}),
 					)
 					.map(([one, at]): PlannedFault => ({...one, at})),
 				{maxLength: 3},
@@ -448,29 +467,29 @@
 		)
 		.map((faults) => faults.flat()),
 	isUnguarded: fc.boolean(),
-	stopMs: fc.constantFrom(0, 40),
+	stopDelayMs: fc.constantFrom(0, 40),
 });
 
-/** Executors whose room shrinks and grows while groups change hands, hosts die and orders are lost or late. */
-export const shrinkPlans: fc.Arbitrary<FaultPlan> = fc.oneof(
-	slowShrinkPlans,
+/** The capacity of executors shrinks and grows while groups change holders, hosts die, and calls are lost or late. */
+export const capacityChangePlans: fc.Arbitrary<FaultPlan> = fc.oneof(
+	longShrinkPlans,
 	takeoverPlans,
 );
 
 const crashingJob = fc.record({
-	at: fc.nat(spanMs),
+	at: fc.nat(planSpanMs),
 	host,
 	tasks: fc.integer({min: 1, max: 3}),
 	runMs: fc.constantFrom(60, 600, 1500),
 	allowanceMs: fc.constantFrom(60, 1000),
 	isOnNewConnection: fc.boolean(),
-	crashMs: fc.constantFrom(0, 5, 50, 500),
+	crashAfterMs: fc.constantFrom(0, 5, 50, 500),
 });
 
-const backMs = fc.integer({min: 500, max: 4000});
+const restartDelayMs = fc.integer({min: 500, max: 4000});
 
-/** Jobs that crash their executors beside sound ones, while groups change hands, hosts die and orders are lost. */
-export const crashPlans: fc.Arbitrary<FaultPlan> = fc.record({
+/** Jobs that crash their executors run beside jobs that don't, while groups change holders, hosts die and calls are lost. */
+export const executorCrashPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: fc
 		.tuple(
 			fc.array(crashingJob, {minLength: 1, maxLength: 2}),
@@ -480,20 +499,20 @@
 	faults: fc.array(
 		fc.oneof(
 			{weight: 3, arbitrary: handOver},
-			{weight: 2, arbitrary: resetRequests},
+			{weight: 2, arbitrary: connectionReset},
 			{weight: 2, arbitrary: hostFault},
-			{weight: 2, arbitrary: orderFault},
+			{weight: 2, arbitrary: callFault},
 			{weight: 1, arbitrary: executorFault},
 			{weight: 1, arbitrary: linkFault},
-			{weight: 1, arbitrary: lostHost},
+			{weight: 1, arbitrary: hostLoss},
 		),
 		{maxLength: 5},
 	),
-	backMs,
+	restartDelayMs,
 });
 
-/** The same with nothing else that goes wrong. */
-export const plainCrashPlans: fc.Arbitrary<FaultPlan> = fc.record({
+/** As `executorCrashPlans`, with one job that crashes its executors and no other fault. */
+export const crashOnlyPlans: fc.Arbitrary<FaultPlan> = fc.record({
 	jobs: fc
 		.tuple(
 			fc.array(crashingJob, {minLength: 1, maxLength: 1}),
@@ -501,5 +520,5 @@
 		)
 		.map((jobs) => jobs.flat()),
 	faults: fc.constant([]),
-	backMs,
+	restartDelayMs,
 });
--- a/packages/host/src/scheduling/faulty/faulty-network.fixture.ts
+++ b/packages/host/src/scheduling/faulty/faulty-network.fixture.ts
@@ -1,5 +1,6 @@
 /**
-Connections between hosts on a virtual clock: one each way, in order, a millisecond; they break, and hold messages up.
+Connections between hosts on a virtual clock. Each host opens one to each other host, so a pair of hosts has two. Messages arrive in
+order, after a millisecond; connections can break, go silent, or delay messages.
 */
 import {
 	silenceMs,
@@ -11,33 +12,35 @@
 import {type VirtualClock} from '@gentianshift/scheduling/fixtures';
 import {type FaultyHost} from './faulty-host.fixture.js';
 
-const linkMs = 1;
-/** Connections are looked at this often, and dialled anew after this long. */
-const noticeMs = 180;
-const redialMs = 100;
+const latencyMs = 1;
+/** Connections are checked for silence this often, so a silent one may be noticed this much later. */
+const silenceCheckMs = 180;
+/** Delay before a connection that was closed for silence is opened again. */
+const redialDelayMs = 100;
 
-/** From the host that made a connection, or to it. */
-type Way = 'asked' | 'answered';
+/** `asked`: sent by the host that opened the connection; `answered`: sent to it. */
+type Direction = 'asked' | 'answered';
 
 export class FaultyNetwork {
 	readonly clock: VirtualClock;
 	readonly #hosts: readonly FaultyHost[];
 	readonly #connections = new Map<string, Connection>();
-	readonly #cuts = new Map<string, number>();
-	/** Until when what one host sends another is held up. */
-	readonly #heldUntil = new Map<string, number>();
+	/** By pair of hosts: how many faults keep them disconnected now. */
+	readonly #cutCounts = new Map<string, number>();
+	/** By pair of sender and receiver: messages arrive no earlier than this. */
+	readonly #delayedUntil = new Map<string, number>();
 
 	constructor(clock: VirtualClock, hosts: readonly FaultyHost[]) {
 		this.clock = clock;
 		this.#hosts = hosts;
 	}
 
-	/** Connects all pairs that can be connected now. */
+	/** Opens the missing connections between hosts that are alive and not cut off from each other. */
 	connect(): void {
 		for (const from of this.#hosts) {
 			for (const to of this.#hosts) {
-				const key = makePair(from, to);
-				const isCut = (this.#cuts.get(key) ?? 0) > 0;
+				const key = makePairKey(from, to);
+				const isCut = (this.#cutCounts.get(key) ?? 0) > 0;
 				const canOpen = from !== to && from.isAlive && to.isAlive && !isCut;
 				if (canOpen && !this.#connections.get(key)?.isOpen) {
 					const connection = new Connection(this, from, to);
@@ -48,10 +51,13 @@
 		}
 	}
 
-	/** Breaks both connections of a pair, or mends the way for new ones. */
-	cut(a: FaultyHost, b: FaultyHost, isCut: boolean): void {
-		for (const key of [makePair(a, b), makePair(b, a)]) {
-			this.#cuts.set(key, (this.#cuts.get(key) ?? 0) + (isCut ? 1 : -1));
+	/** Breaks both connections of a pair, or allows new ones. */
+	setCut(a: FaultyHost, b: FaultyHost, isCut: boolean): void {
+		for (const key of [makePairKey(a, b), makePairKey(b, a)]) {
+			this.#cutCounts.set(
+				key,
+				(this.#cutCounts.get(key) ?? 0) + (isCut ? 1 : -1),
+			);
 			if (isCut) {
 				this.#connections.get(key)?.close('cut');
 			}
@@ -60,44 +66,44 @@
 		this.connect();
 	}
 
-	/** Breaks all connections of a host, or mends the way for new ones. */
-	cutOff(host: FaultyHost, isCut: boolean): void {
+	/** Breaks all connections of a host, or allows new ones. */
+	setIsolated(host: FaultyHost, isIsolated: boolean): void {
 		for (const other of this.#hosts) {
 			if (other !== host) {
-				this.cut(host, other, isCut);
+				this.setCut(host, other, isIsolated);
 			}
 		}
 	}
 
-	holdUp(from: FaultyHost, to: FaultyHost, until: number): void {
-		this.#heldUntil.set(makePair(from, to), until);
+	setDelay(from: FaultyHost, to: FaultyHost, until: number): void {
+		this.#delayedUntil.set(makePairKey(from, to), until);
 	}
 
-	holdUpConnection(
+	setConnectionDelay(
 		from: FaultyHost,
 		to: FaultyHost,
-		{way, until}: {way: Way; until: number},
+		{direction, until}: {direction: Direction; until: number},
 	): void {
-		this.#connections.get(makePair(from, to))?.holdUp(way, until);
+		this.#connections.get(makePairKey(from, to))?.setDelay(direction, until);
 	}
 
-	/** The connection is lost without a word, and made anew when that has been noticed. */
-	silence(from: FaultyHost, to: FaultyHost): void {
-		const connection = this.#connections.get(makePair(from, to));
+	/** The connection delivers nothing more; it is closed and opened again once the silence is noticed. */
+	markSilent(from: FaultyHost, to: FaultyHost): void {
+		const connection = this.#connections.get(makePairKey(from, to));
 		if (!connection?.isOpen) {
 			return;
 		}
 
 		connection.isSilent = true;
-		this.clock.schedule(silenceMs + noticeMs, () => {
+		this.clock.schedule(silenceMs + silenceCheckMs, () => {
 			connection.close(silentReason);
-			this.clock.schedule(redialMs, () => {
+			this.clock.schedule(redialDelayMs, () => {
 				this.connect();
 			});
 		});
 	}
 
-	closeAll(host: FaultyHost): void {
+	closeAllOf(host: FaultyHost): void {
 		for (const connection of this.#connections.values()) {
 			if (connection.from === host || connection.to === host) {
 				connection.close('gone');
@@ -115,21 +121,21 @@
 			.map(({link}) => link);
 	}
 
-	getArrival(from: FaultyHost, to: FaultyHost): number {
-		const heldUntil = this.#heldUntil.get(makePair(from, to)) ?? 0;
-		return Math.max(this.clock.now + linkMs, heldUntil);
+	computeArrival(from: FaultyHost, to: FaultyHost): number {
+		const delayedUntil = this.#delayedUntil.get(makePairKey(from, to)) ?? 0;
+		return Math.max(this.clock.now + latencyMs, delayedUntil);
 	}
 }
 
 class Connection {
 	isOpen = false;
-	/** Nothing gets through any more. */
+	/** It stays open, and delivers nothing more. */
 	isSilent = false;
 	readonly link: Link;
 	readonly session: Session;
-	/** When the last message of each way arrives: none overtakes another. */
-	#askedAt = 0;
-	#repliedAt = 0;
+	/** When the last message in each direction arrives: no later one may overtake it. */
+	#lastRequestAt = 0;
+	#lastReplyAt = 0;
 
 	constructor(
 		private readonly network: FaultyNetwork,
@@ -140,24 +146,29 @@
 			key: to.key,
 			hello: to.hello,
 			send: (message) => {
-				this.#askedAt = this.#send(message, from, to, this.#askedAt);
+				this.#lastRequestAt = this.#send(
+					message,
+					from,
+					to,
+					this.#lastRequestAt,
+				);
 			},
 		};
 		this.session = {
 			key: from.key,
 			hello: from.hello,
 			send: (message) => {
-				this.#repliedAt = this.#send(message, to, from, this.#repliedAt);
+				this.#lastReplyAt = this.#send(message, to, from, this.#lastReplyAt);
 			},
 		};
 	}
 
-	/** No message of that way that is sent from now on arrives before then. */
-	holdUp(way: Way, until: number): void {
-		if (way === 'asked') {
-			this.#askedAt = Math.max(this.#askedAt, until);
+	/** Messages that are sent in that direction from now on arrive no earlier than `until`. */
+	setDelay(direction: Direction, until: number): void {
+		if (direction === 'asked') {
+			this.#lastRequestAt = Math.max(this.#lastRequestAt, until);
 		} else {
-			this.#repliedAt = Math.max(this.#repliedAt, until);
+			this.#lastReplyAt = Math.max(this.#lastReplyAt, until);
 		}
 	}
 
@@ -183,7 +194,7 @@
 		}
 	}
 
-	/** Gives when the message arrives, unless the connection breaks before. */
+	/** Returns when the message arrives, unless the connection breaks before. */
 	#send(
 		message: Message,
 		from: FaultyHost,
@@ -195,7 +206,7 @@
 			return lastAt;
 		}
 
-		const at = Math.max(this.network.getArrival(from, to), lastAt);
+		const at = Math.max(this.network.computeArrival(from, to), lastAt);
 		clock.schedule(at - clock.now, () => {
 			if (!this.isOpen) {
 				return;
@@ -213,6 +224,6 @@
 	}
 }
 
-function makePair(from: FaultyHost, to: FaultyHost): string {
+function makePairKey(from: FaultyHost, to: FaultyHost): string {
 	return `${from.key} ${to.key}`;
 }
--- a/packages/host/src/scheduling/faulty/no-task-twice.test.ts
+++ b/packages/host/src/scheduling/faulty/no-task-twice.test.ts
@@ -1,48 +1,50 @@
 /**
-No task runs twice at a time, whatever is lost, late, frozen, killed or cut off together: the real entries, schedulers, sessions,
-holdings and handlers of four hosts on a virtual clock, with plans of jobs and faults drawn by fast-check.
+No task runs twice at a time, whatever combination of messages and hosts is lost, late, frozen, killed or cut off. Four hosts run the
+production code of entry hosts, schedulers, executor sessions, takeovers and message handlers on a virtual clock, under plans of jobs
+and faults that fast-check generates at random.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import fc from 'fast-check';
 import {faultPlans, type FaultPlan} from './fault-plan.fixture.js';
-import {playPlan} from './play-plan.fixture.js';
-import {playPlans} from './play-plans.fixture.js';
+import {runPlan} from './run-plan.fixture.js';
+import {checkPlans} from './check-plans.fixture.js';
 
-// Played before the tests begin: within a test the runner follows each promise, which takes three times as long.
-const played = await playPlans(faultPlans);
+// Runs before the tests start: within a test, the test runner tracks each promise, which takes three times as long.
+const result = await checkPlans(faultPlans);
 
-// When a promise is broken, the plan is made as small as it can be and printed.
-test('no plan of faults makes a task run twice, a refusal untrue or an answer partial', () => {
-	assert.ok(!played.failed, fc.defaultReportMessage(played));
+// If an invariant is violated, the plan is shrunk as far as possible and printed.
+test('no plan of faults makes a task run twice at a time, a refused job run, or an incomplete job count as completed', () => {
+	assert.ok(!result.failed, fc.defaultReportMessage(result));
 });
 
-/** Plans that once broke a promise, each with what went wrong. */
-const brokenOnce: ReadonlyArray<{cause: string; plan: FaultPlan}> = [
+/** Plans that once violated an invariant, each with the situation that led to it. */
+const regressions: ReadonlyArray<{situation: string; plan: FaultPlan}> = [
 	{
-		cause: 'the word to drop a job was lost with the connection to its holder',
+		situation:
+			'the message to drop a job was lost with the connection to the holder',
 		plan: {
 			jobs: [
 				{at: 0, host: 1, tasks: 1, runMs: 2500, allowanceMs: 1000},
 				{at: 201, host: 1, tasks: 1, runMs: 60, allowanceMs: 1000},
 			],
-			faults: [{at: 150, forMs: 351, kind: 'cut', host: 0, peer: 1}],
+			faults: [{at: 150, durationMs: 351, kind: 'cut', host: 0, peer: 1}],
 		},
 	},
 	{
-		cause:
-			'a new holder acted on the first line of a report that its first look had missed',
+		situation:
+			'a new holder, whose first query of an executor was lost, acted on the first line of the later report alone',
 		plan: {
 			jobs: [
 				{at: 562, host: 1, tasks: 1, runMs: 1500, allowanceMs: 1000},
 				{at: 504, host: 0, tasks: 1, runMs: 60, allowanceMs: 1000},
 			],
 			faults: [
-				{at: 800, forMs: 753, kind: 'hand-over'},
+				{at: 800, durationMs: 753, kind: 'hand-over'},
 				{
 					at: 0,
-					forMs: 1563,
-					kind: 'orders',
+					durationMs: 1563,
+					kind: 'faulty-calls',
 					executor: 1,
 					how: 'lost',
 					every: 3,
@@ -52,19 +54,20 @@
 		},
 	},
 	{
-		cause: 'an executor was silent in the moment after its group changed hands',
+		situation:
+			'an executor was silent right after its group had changed holders',
 		plan: {
 			jobs: [{at: 0, host: 0, tasks: 2, runMs: 2500, allowanceMs: 1000}],
 			faults: [
-				{at: 800, forMs: 753, kind: 'hand-over'},
-				{at: 1600, forMs: 53, kind: 'plan-stop', host: 1},
-				{at: 1600, forMs: 63, kind: 'silence', executor: 0},
+				{at: 800, durationMs: 753, kind: 'hand-over'},
+				{at: 1600, durationMs: 53, kind: 'graceful-stop', host: 1},
+				{at: 1600, durationMs: 63, kind: 'silence', executor: 0},
 			],
 		},
 	},
 	{
-		cause:
-			'a holder that woke up took the word of an entry that had given up on it for one that had waited',
+		situation:
+			'a holder that resumed after a freeze treated an entry host that had given up on it as one that had kept waiting',
 		plan: {
 			jobs: [
 				{at: 0, host: 2, tasks: 1, runMs: 2500, allowanceMs: 60},
@@ -72,16 +75,16 @@
 				{at: 1600, host: 3, tasks: 3, runMs: 1500, allowanceMs: 60},
 			],
 			faults: [
-				{at: 2405, forMs: 1896, kind: 'freeze', host: 0},
-				{at: 0, forMs: 1331, kind: 'silence', executor: 2},
-				{at: 0, forMs: 50, kind: 'kill', host: 0},
-				{at: 890, forMs: 411, kind: 'hand-over'},
+				{at: 2405, durationMs: 1896, kind: 'freeze', host: 0},
+				{at: 0, durationMs: 1331, kind: 'silence', executor: 2},
+				{at: 0, durationMs: 50, kind: 'kill', host: 0},
+				{at: 890, durationMs: 411, kind: 'hand-over'},
 			],
 		},
 	},
 	{
-		cause:
-			'words for other jobs reached a holder that the entry counted as silent',
+		situation:
+			'messages for other jobs reached a holder that the entry host considered silent',
 		plan: {
 			jobs: [
 				{at: 0, host: 1, tasks: 1, runMs: 2200, allowanceMs: 1000},
@@ -94,21 +97,23 @@
 					isOnNewConnection: true,
 				})),
 			],
-			faults: [{at: 10, forMs: 3000, kind: 'hold-up', host: 0, peer: 1}],
+			faults: [
+				{at: 10, durationMs: 3000, kind: 'delay-messages', host: 0, peer: 1},
+			],
 		},
 	},
 	{
-		cause:
-			'a holder whose machine was suspended took what entries had granted it before for fresh',
+		situation:
+			'a holder whose machine was suspended treated claims that entry hosts had renewed before as fresh',
 		plan: {
 			jobs: [{at: 0, host: 1, tasks: 1, runMs: 2500, allowanceMs: 60}],
-			faults: [{at: 0, forMs: 901, kind: 'suspend', host: 0}],
+			faults: [{at: 0, durationMs: 901, kind: 'suspend', host: 0}],
 		},
 	},
 ];
 
-for (const {cause, plan} of brokenOnce) {
-	test(`promises hold where ${cause}`, async () => {
-		assert.deepEqual(await playPlan(plan), []);
+for (const {situation, plan} of regressions) {
+	test(`all invariants hold when ${situation}`, async () => {
+		assert.deepEqual(await runPlan(plan), []);
 	});
 }
--- /dev/null
+++ b/packages/host/src/scheduling/faulty/run-plan.fixture.ts
@@ -0,0 +1,393 @@
+/**
+Simulates a plan of jobs and faults, and reports which invariants were violated.
+*/
+import {
+	type Executor,
+	type ExecutorControl,
+	type JobAnswer,
+	type JobRequest,
+} from '@gentianshift/scheduling';
+import {
+	countStartsAfterCrashes,
+	createFakeExecutors,
+	findOverfull,
+	findOverlaps,
+	VirtualClock,
+	type CallFate,
+	type FakeCall,
+	type FakeExecutors,
+} from '@gentianshift/scheduling/fixtures';
+import {
+	startFault,
+	type FaultySystem,
+	type CallFault,
+	type ShrinkFault,
+} from './start-fault.fixture.js';
+import {FaultyHost} from './faulty-host.fixture.js';
+import {FaultyNetwork} from './faulty-network.fixture.js';
+import {FaultyStore, type StoreMode} from './faulty-store.fixture.js';
+import {
+	dataCentres,
+	executorCount,
+	firstCentreExecutorCount,
+	hostCount,
+	type FaultPlan,
+	type PlannedFault,
+	type PlannedJob,
+} from './fault-plan.fixture.js';
+
+const hostIdentities = [
+	{dataCentre: 'mieres', host: 'm1', wallClockOffsetMs: 0},
+	{dataCentre: 'mieres', host: 'm2', wallClockOffsetMs: 40},
+	{dataCentre: 'langreo', host: 'l1', wallClockOffsetMs: 3},
+	{dataCentre: 'langreo', host: 'l2', wallClockOffsetMs: -20},
+] as const;
+
+/** A caller whose connection broke, or whose job was given up, sends the job again to another host after this long. */
+const resendDelayMs = 1300;
+/** Likewise for faults whose callers send again at once: the delay until the copy is sent over a new connection. */
+const immediateResendDelayMs = 9;
+/** Time from the start of the hosts until each group has a holder; jobs and faults start only then. */
+const startUpMs = 1500;
+/** All callers must be answered within this time after the last fault has ended. */
+const answerLimitAfterFaultsMs = 9000;
+/** Likewise after the last job has arrived. */
+const answerLimitAfterJobsMs = 6600;
+const callerTimeoutMs = 4000;
+const pollIntervalMs = 20;
+const defaultTaskCpu = 14_000;
+/** A reduced capacity must be respected after this long: 3000 ms for hosts to be connected again, and 1500 ms for one heartbeat of the executors. */
+const capacityGraceMs = 3000 + 1500;
+/** A crashed executor's registration in the store expires after this long. */
+const registrationTtlMs = 1500;
+const defaultRestartDelayMs = 2000;
+/** A task under which `crashLimit` executors have crashed may be started `maxStartsAfterCrashLimit` more times at most. */
+const crashLimit = 3;
+const maxStartsAfterCrashLimit = 2;
+
+type SimulatedJob = PlannedJob & {
+	id: string;
+	answers: Array<JobAnswer['type']>;
+	sendCount: number;
+	/** The last copy was sent again at once after its connection broke. */
+	isSentAtOnce: boolean;
+};
+
+/** The simulated system while a plan runs. */
+class Simulation {
+	readonly clock = new VirtualClock();
+	readonly #runMsByJob = new Map<string, number>();
+	readonly #cpuByJob = new Map<string, number>();
+	readonly #crashAfterMsByJob = new Map<string, number>();
+	readonly #callFaults = new Set<CallFault>();
+	readonly #storeModes = new Map<FaultyHost, StoreMode>();
+	readonly #executors: FakeExecutors;
+	readonly #hosts: FaultyHost[] = [];
+	readonly #system: FaultySystem;
+	readonly #jobs: SimulatedJob[] = [];
+
+	constructor(
+		private readonly options: {
+			isGuarded: boolean;
+			stopDelayMs: number;
+			restartDelayMs: number;
+		},
+		private readonly log: (line: string) => void,
+	) {
+		this.#executors = this.#createExecutors();
+		this.#system = {
+			clock: this.clock,
+			hosts: this.#hosts,
+			network: new FaultyNetwork(this.clock, this.#hosts),
+			store: new FaultyStore(this.clock, this.#executors.executors),
+			executors: this.#executors,
+			storeModes: this.#storeModes,
+			callFaults: this.#callFaults,
+			activeShrinks: new Set<ShrinkFault>(),
+			sendAgain: (jobs, when) => {
+				this.#sendAllAgain(
+					jobs,
+					when === 'at-once' ? immediateResendDelayMs : resendDelayMs,
+				);
+			},
+		};
+		for (const identity of hostIdentities) {
+			this.#hosts.push(this.#createHost(identity));
+		}
+	}
+
+	async run({jobs, faults}: FaultPlan): Promise<string[]> {
+		for (const host of this.#hosts) {
+			host.start();
+		}
+
+		this.#system.network.connect();
+		await this.clock.run(startUpMs);
+		for (const [i, job] of jobs.entries()) {
+			const simulatedJob = {
+				...job,
+				id: `job${i}`,
+				answers: [],
+				sendCount: 0,
+				isSentAtOnce: false,
+			};
+			this.#jobs.push(simulatedJob);
+			this.#runMsByJob.set(simulatedJob.id, job.runMs);
+			this.#cpuByJob.set(simulatedJob.id, job.cpu ?? defaultTaskCpu);
+			if (job.crashAfterMs !== undefined) {
+				this.#crashAfterMsByJob.set(simulatedJob.id, job.crashAfterMs);
+			}
+
+			this.clock.schedule(job.at, () => {
+				this.#send(simulatedJob);
+			});
+		}
+
+		for (const fault of faults) {
+			this.#scheduleFault(fault);
+		}
+
+		const lastFaultEnd = Math.max(
+			0,
+			...faults.map(({at, durationMs}) => at + durationMs),
+		);
+		const lastJobAt = Math.max(0, ...jobs.map(({at}) => at));
+		await this.clock.run(
+			Math.max(
+				lastFaultEnd + answerLimitAfterFaultsMs,
+				lastJobAt + answerLimitAfterJobsMs,
+			),
+		);
+		for (const host of this.#hosts) {
+			host.kill();
+		}
+
+		return [...this.#checkInvariants()];
+	}
+
+	*#checkInvariants(): Generator<string> {
+		const {runs} = this.#executors;
+		yield* findOverlaps(runs).map(
+			(pair) => `task ran twice at a time: ${pair}`,
+		);
+		yield* findOverfull(this.#executors, capacityGraceMs).map(
+			(start) => `start exceeded the executor's capacity: ${start}`,
+		);
+		for (const [task, starts] of countStartsAfterCrashes(runs, crashLimit)) {
+			if (starts > maxStartsAfterCrashLimit) {
+				yield `task started ${starts} times after ${crashLimit} crashes: ${task}`;
+			}
+		}
+
+		for (const {id, tasks, answers, sendCount, crashAfterMs} of this.#jobs) {
+			if (crashAfterMs === undefined && answers.includes('failed')) {
+				yield `job failed although it crashes no executor: ${id}`;
+			}
+
+			const jobRuns = runs.filter(({job}) => job === id);
+			const refusals = answers.filter((answer) => answer === 'refused');
+			// Refusals say that no task has run; a copy whose connection broke got no answer, and may have run.
+			if (refusals.length === sendCount && jobRuns.length > 0) {
+				yield `job refused although a task of it ran: ${id}`;
+			}
+
+			const doneTasks = new Set(
+				jobRuns
+					.filter(({outcome}) => outcome === 'done')
+					.map(({index}) => index),
+			);
+			if (answers.at(-1) === 'completed' && doneTasks.size < tasks) {
+				yield `job completed although a task of it has not: ${id}`;
+			}
+
+			if (answers.length === 0) {
+				yield `job without an answer: ${id}`;
+			}
+		}
+	}
+
+	#createExecutors(): FakeExecutors {
+		const executors = createFakeExecutors(this.clock, {
+			count: executorCount,
+			taskMs: ({job}) => this.#runMsByJob.get(job) ?? 0,
+			decideFate: (call) => this.#decideFate(call),
+			lookMs: pollIntervalMs,
+			stopMs: this.options.stopDelayMs,
+			isGuarded: this.options.isGuarded,
+			getDemand: (job) => this.#makeDemand(job),
+			findCrashMs: ({job, index}) =>
+				index === 0 ? this.#crashAfterMsByJob.get(job) : undefined,
+			getBackMs: () => this.options.restartDelayMs,
+			onCrash: (former, next) => {
+				this.#replaceExecutor(former, next);
+			},
+		});
+		for (const [i, fake] of executors.fakes.entries()) {
+			fake.executor.dataCentre =
+				dataCentres[i < firstCentreExecutorCount ? 0 : 1]!;
+		}
+
+		return executors;
+	}
+
+	#makeDemand(job: string): JobRequest['demand'] {
+		const cpu = this.#cpuByJob.get(job) ?? defaultTaskCpu;
+		return {cpu, memoryMb: 64, accelerators: 0};
+	}
+
+	#replaceExecutor(former: Executor, next: Executor): void {
+		const {store} = this.#system;
+		this.log(`${this.clock.now} executor ${former.id} crashes`);
+		this.clock.schedule(registrationTtlMs, () => {
+			store.setListed(former.id, false);
+		});
+		this.clock.schedule(this.options.restartDelayMs, () => {
+			store.addExecutor(next);
+		});
+	}
+
+	#decideFate({executor}: FakeCall): CallFate {
+		for (const fault of this.#callFaults) {
+			const [name] = executor.split('.', 1);
+			if (name === `e${fault.executor + 1}`) {
+				fault.callsSeen += 1;
+				if (fault.callsSeen % fault.every === 0) {
+					return fault.how === 'late'
+						? {type: 'late', ms: fault.lateMs}
+						: {type: fault.how};
+				}
+			}
+		}
+
+		return {type: 'answered'};
+	}
+
+	#createHost(identity: (typeof hostIdentities)[number]): FaultyHost {
+		const client = this.#system.store.createClient(
+			() => this.#storeModes.get(host) ?? 'normal',
+		);
+		const host: FaultyHost = new FaultyHost(identity, {
+			clock: this.clock,
+			...client,
+			control: this.#executors.control satisfies ExecutorControl,
+			isGuarded: this.options.isGuarded,
+			listTakeoverOrder: () =>
+				this.#hosts
+					.filter(
+						({dataCentre, isAlive}) =>
+							dataCentre === identity.dataCentre && isAlive,
+					)
+					.map(({key}) => key),
+			peers: {
+				listLinks: () => this.#system.network.listLinks(host),
+				listKeys: () =>
+					this.#hosts.filter((other) => other !== host).map(({key}) => key),
+				findLink: (key) => this.#system.network.findLink(host, key),
+				listIncarnations: (key) =>
+					this.#hosts
+						.filter((other) => other.key === key && other.isAlive)
+						.map(({incarnation}) => incarnation),
+			},
+			log: (message, fields) => {
+				this.log(
+					`${this.clock.now} ${identity.host} ${message} ${JSON.stringify(fields)}`,
+				);
+			},
+		});
+		return host;
+	}
+
+	/** Sends a caller's job to its host, or to the next one that is alive; each copy that is sent again starts one host further. */
+	#send(job: SimulatedJob): void {
+		const first = (job.host + job.sendCount) % hostCount;
+		const order = [...this.#hosts.slice(first), ...this.#hosts];
+		const host = order.find(({isAlive}) => isAlive);
+		job.sendCount += 1;
+		if (!host) {
+			this.#sendAgain(job);
+			return;
+		}
+
+		this.log(`${this.clock.now} caller sends ${job.id} to ${host.key}`);
+		host.submit(this.#makeRequest(job), (answer) => {
+			this.log(`${this.clock.now} caller of ${job.id} gets ${answer.type}`);
+			job.answers.push(answer.type);
+			if (answer.type === 'given-up') {
+				this.#sendAgain(job);
+			}
+		});
+	}
+
+	#sendAgain(job: SimulatedJob, afterMs = resendDelayMs): void {
+		this.clock.schedule(afterMs, () => {
+			job.isSentAtOnce = afterMs === immediateResendDelayMs;
+			this.#send(job);
+		});
+	}
+
+	#sendAllAgain(ids: readonly string[], afterMs: number): void {
+		for (const job of this.#jobs) {
+			if (ids.includes(job.id)) {
+				this.#sendAgain(job, afterMs);
+			}
+		}
+	}
+
+	#makeRequest({
+		id,
+		tasks,
+		runMs,
+		allowanceMs,
+		isSentAtOnce,
+		isOnNewConnection = false,
+	}: SimulatedJob): JobRequest {
+		return {
+			id,
+			queue: {
+				name: 'menu',
+				host: 'kitchen.example',
+				prefix: '/menu/',
+				service: 'meals',
+				priority: 0,
+				maxAttempts: 3,
+				timeoutMs: callerTimeoutMs,
+				allowanceMs,
+				slackFactor: 2,
+			},
+			spec: '',
+			count: tasks,
+			demand: this.#makeDemand(id),
+			declaredMs: runMs,
+			timeLeftMs: callerTimeoutMs,
+			requestsBefore: isSentAtOnce || isOnNewConnection ? 0 : 1,
+		};
+	}
+
+	#scheduleFault(fault: PlannedFault): void {
+		this.clock.schedule(fault.at, () => {
+			this.log(`${this.clock.now} fault ${JSON.stringify(fault)}`);
+			const end = startFault(fault, this.#system);
+			this.clock.schedule(fault.durationMs, end);
+		});
+	}
+}
+
+/** Simulates the plan; returns a line for each violation of an invariant, none if all held. */
+export async function runPlan(
+	plan: FaultPlan,
+	log: (line: string) => void = doNothing,
+): Promise<string[]> {
+	const {
+		isUnguarded = false,
+		stopDelayMs = 0,
+		restartDelayMs = defaultRestartDelayMs,
+	} = plan;
+	return new Simulation(
+		{isGuarded: !isUnguarded, stopDelayMs, restartDelayMs},
+		log,
+	).run(plan);
+}
+
+function doNothing(): void {
+	// Nobody reads the log of this simulation.
+}
--- /dev/null
+++ b/packages/host/src/scheduling/faulty/start-fault.fixture.ts
@@ -0,0 +1,245 @@
+/**
+Starts the faults of a plan in the simulated system, and ends them.
+*/
+import {
+	type FakeExecutors,
+	type VirtualClock,
+} from '@gentianshift/scheduling/fixtures';
+import {type TaskDemand} from '@gentianshift/protocol';
+import {dataCentres, type PlannedFault} from './fault-plan.fixture.js';
+import {type FaultyHost} from './faulty-host.fixture.js';
+import {type FaultyNetwork} from './faulty-network.fixture.js';
+import {type FaultyStore, type StoreMode} from './faulty-store.fixture.js';
+
+/** Calls to an executor that fail; `callsSeen` counts the calls that were made while the fault lasts. */
+export type CallFault = Extract<PlannedFault, {kind: 'faulty-calls'}> & {
+	callsSeen: number;
+};
+
+export type ShrinkFault = Extract<PlannedFault, {kind: 'shrink'}>;
+
+export type FaultySystem = {
+	clock: VirtualClock;
+	hosts: readonly FaultyHost[];
+	network: FaultyNetwork;
+	store: FaultyStore;
+	executors: FakeExecutors;
+	/** How the store treats a host; it answers hosts that are not in the map normally. */
+	storeModes: Map<FaultyHost, StoreMode>;
+	callFaults: Set<CallFault>;
+	activeShrinks: Set<ShrinkFault>;
+	/** Has the callers of these jobs, whose connections broke, send them again; `at-once`: without the usual delay. */
+	sendAgain: (jobs: readonly string[], when?: 'at-once') => void;
+};
+
+/** Starts a fault; the returned function ends it. */
+export function startFault(
+	fault: PlannedFault,
+	system: FaultySystem,
+): () => void {
+	const {hosts, storeModes, callFaults} = system;
+	switch (fault.kind) {
+		case 'kill':
+		case 'kill-resend-at-once':
+		case 'freeze':
+		case 'suspend':
+		case 'graceful-stop':
+		case 'reset-callers': {
+			return startHostFault(fault, hosts[fault.host]!, system);
+		}
+
+		case 'reset-resend-at-once': {
+			return startConnectionReset(fault, system);
+		}
+
+		case 'hand-over': {
+			const holder = hosts.find(
+				({isHolder, dataCentre}) => isHolder && dataCentre === dataCentres[0],
+			);
+			holder?.setStopping(true);
+			return () => {
+				holder?.setStopping(false);
+			};
+		}
+
+		case 'cut':
+		case 'delay-messages':
+		case 'delay-connection':
+		case 'silent-connection': {
+			return startLinkFault(fault, system);
+		}
+
+		case 'store': {
+			const host = hosts[fault.host]!;
+			storeModes.set(host, fault.how);
+			return () => {
+				storeModes.delete(host);
+			};
+		}
+
+		case 'unlist':
+		case 'silence': {
+			return startExecutorFault(fault, system);
+		}
+
+		case 'shrink': {
+			return startShrink(fault, system);
+		}
+
+		case 'faulty-calls': {
+			const callFault = {...fault, callsSeen: 0};
+			callFaults.add(callFault);
+			return () => {
+				callFaults.delete(callFault);
+			};
+		}
+	}
+}
+
+function startHostFault(
+	fault: Extract<
+		PlannedFault,
+		{
+			kind:
+				| 'kill'
+				| 'kill-resend-at-once'
+				| 'freeze'
+				| 'suspend'
+				| 'graceful-stop'
+				| 'reset-callers';
+		}
+	>,
+	host: FaultyHost,
+	{network, sendAgain}: FaultySystem,
+): () => void {
+	const {kind, durationMs} = fault;
+	switch (fault.kind) {
+		case 'kill':
+		case 'kill-resend-at-once': {
+			sendAgain(host.kill(), kind === 'kill' ? undefined : 'at-once');
+			network.closeAllOf(host);
+			return () => {
+				if (!host.isAlive) {
+					host.start();
+					network.connect();
+				}
+			};
+		}
+
+		case 'freeze': {
+			host.freeze(durationMs);
+			return doNothing;
+		}
+
+		case 'suspend': {
+			host.suspend(durationMs);
+			return doNothing;
+		}
+
+		case 'graceful-stop': {
+			host.setStopping(true);
+			return () => {
+				host.setStopping(false);
+			};
+		}
+
+		case 'reset-callers': {
+			sendAgain(host.resetCallers(fault.noticeDelayMs));
+			return doNothing;
+		}
+	}
+}
+
+function startConnectionReset(
+	{host, noticeDelayMs}: Extract<PlannedFault, {kind: 'reset-resend-at-once'}>,
+	{hosts, network, sendAgain}: FaultySystem,
+): () => void {
+	const resetHost = hosts[host]!;
+	sendAgain(resetHost.resetCallers(noticeDelayMs), 'at-once');
+	network.setIsolated(resetHost, true);
+	return () => {
+		network.setIsolated(resetHost, false);
+	};
+}
+
+function startLinkFault(
+	fault: Extract<
+		PlannedFault,
+		{kind: 'cut' | 'delay-messages' | 'delay-connection' | 'silent-connection'}
+	>,
+	{hosts, network, clock}: FaultySystem,
+): () => void {
+	const from = hosts[fault.host]!;
+	const to = hosts[fault.peer]!;
+	const until = clock.now + fault.durationMs;
+	if (from === to) {
+		return doNothing;
+	}
+
+	if (fault.kind === 'delay-messages') {
+		network.setDelay(from, to, until);
+		return doNothing;
+	}
+
+	if (fault.kind === 'delay-connection') {
+		network.setConnectionDelay(from, to, {direction: fault.direction, until});
+		return doNothing;
+	}
+
+	if (fault.kind === 'silent-connection') {
+		network.markSilent(from, to);
+		return doNothing;
+	}
+
+	network.setCut(from, to, true);
+	return () => {
+		network.setCut(from, to, false);
+	};
+}
+
+function startExecutorFault(
+	{kind, executor}: Extract<PlannedFault, {kind: 'unlist' | 'silence'}>,
+	{executors, store}: FaultySystem,
+): () => void {
+	const fake = executors.fakes[executor]!;
+	const {id} = fake.executor;
+	if (kind === 'unlist') {
+		store.setListed(id, false);
+		return () => {
+			store.setListed(id, true);
+		};
+	}
+
+	fake.cutFrom = 'all';
+	return () => {
+		fake.cutFrom = new Set();
+	};
+}
+
+/** While several of these faults overlap on one executor, the smallest share applies. */
+function startShrink(
+	fault: ShrinkFault,
+	{executors, store, activeShrinks}: FaultySystem,
+): () => void {
+	const fake = executors.fakes[fault.executor]!;
+	const fullCapacity: TaskDemand = fake.said[0]!.capacity;
+	const publishCapacity = () => {
+		const shares = [...activeShrinks]
+			.filter(({executor}) => executor === fault.executor)
+			.map(({share}) => share);
+		const cpu = Math.floor(fullCapacity.cpu * Math.min(1, ...shares));
+		const {capacity} = executors.setCapacity(fake, {...fullCapacity, cpu});
+		store.setCapacity(fake.executor.id, capacity);
+	};
+
+	activeShrinks.add(fault);
+	publishCapacity();
+	return () => {
+		activeShrinks.delete(fault);
+		publishCapacity();
+	};
+}
+
+function doNothing(): void {
+	// These faults end by themselves.
+}
