--- a/packages/bench/src/slopes-schedulers.ts
+++ b/packages/bench/src/slopes-schedulers.ts
@@ -146,7 +146,7 @@
 			crashes: createCrashRecords(),
 			onFenced: doNothing,
 			onChange: doNothing,
-			takeElsewhere: () => 0,
+			takeRoomElsewhere: () => 0,
 			isListComplete: () => true,
 			isListFresh: () => true,
 			listPeers: () => [],
@@ -226,9 +226,9 @@
 		dataCentre: 'mieres',
 		service: 'meals',
 		isDraining: false,
-		isGuarded: true,
+		isCapacityEnforced: true,
 		capacity: {cpu: executorCpu, memoryMb: 131_072, accelerators: 0},
-		saidAt: 0,
+		capacityReadAt: 0,
 	};
 }
 
--- a/packages/bench/src/slopes-tables.ts
+++ b/packages/bench/src/slopes-tables.ts
@@ -123,7 +123,7 @@
 function makeView(size: number) {
 	const hosts = Array.from({length: size}, (_, i) => makeHost(i));
 	const view = createHostView(hosts[0]!);
-	view.takePlatformList(hosts);
+	view.applyPlatformList(hosts);
 	for (const host of hosts.slice(1)) {
 		view.markConnected(host);
 	}
--- a/packages/host/src/directory.ts
+++ b/packages/host/src/directory.ts
@@ -203,7 +203,7 @@
 			.listPeers(readNow())
 			.some((peer) => peerKey(peer) === session.key);
 		if (!isKnown) {
-			this.view.takePeerList(
+			this.view.applyPeerList(
 				[{name, dataCentre, role: 'entry', address, state: 'live'}],
 				readNow(),
 			);
@@ -225,7 +225,7 @@
 	/** What a peer of this data centre knows. */
 	receiveHosts(message: MessageOf<'hosts'>): void {
 		const now = readNow();
-		this.view.takePeerList(message.known, now);
+		this.view.applyPeerList(message.known, now);
 		if (message.listed) {
 			this.#takeList(message.listed, now - (message.listedAgeMs ?? Infinity));
 		}
@@ -276,7 +276,7 @@
 		}
 
 		this.#listed = {hosts, at, keptUntil: at + keptMs};
-		this.view.takePlatformList(hosts);
+		this.view.applyPlatformList(hosts);
 		return true;
 	}
 
--- a/packages/host/src/scheduling/executor-lists.test.ts
+++ b/packages/host/src/scheduling/executor-lists.test.ts
@@ -28,7 +28,7 @@
 ) {
 	return createExecutorLists({
 		isHolder: () => true,
-		isNamedService: () => true,
+		isKnownService: () => true,
 		isGuardedService: () => true,
 		onList() {
 			// Read by the test itself.
@@ -192,7 +192,7 @@
 					{...makeExecutor('e2'), service: 'unknown'},
 				]),
 		},
-		isNamedService: (service) => service === 'meals',
+		isKnownService: (service) => service === 'meals',
 		log(message) {
 			logged.push(message);
 		},
@@ -226,7 +226,9 @@
 	const read = async () => {
 		now += 1000;
 		await lists.refresh();
-		return lists.list().map(({capacity, saidAt}) => [capacity.cpu, saidAt]);
+		return lists
+			.list()
+			.map(({capacity, capacityReadAt: saidAt}) => [capacity.cpu, saidAt]);
 	};
 
 	assert.deepEqual(await read(), [[8000, 1000]]);
@@ -310,13 +312,13 @@
 	});
 	await lists.refresh();
 	assert.deepEqual(
-		lists.list().map((executor) => executor.isGuarded),
+		lists.list().map((executor) => executor.isCapacityEnforced),
 		[false],
 	);
 	isGuarded = true;
 	await lists.refresh();
 	assert.deepEqual(
-		lists.list().map((executor) => executor.isGuarded),
+		lists.list().map((executor) => executor.isCapacityEnforced),
 		[true],
 	);
 });
--- a/packages/host/src/scheduling/executor-lists.ts
+++ b/packages/host/src/scheduling/executor-lists.ts
@@ -13,7 +13,7 @@
 */
 import {type Executor} from '@gentianshift/scheduling';
 import {createExecutorRegistrations} from './executor-registrations.js';
-import {type ExecutorSource} from './surroundings.js';
+import {type ExecutorSource} from './host-dependencies.js';
 
 /** A third of the two seconds within which the holder must know of a draining executor. */
 const holderReadIntervalMs = 600;
@@ -56,7 +56,7 @@
 export function createExecutorLists({
 	source,
 	isHolder,
-	isNamedService,
+	isKnownService,
 	isGuardedService,
 	onList,
 	now,
@@ -70,7 +70,7 @@
 	Whether the configuration names the service. Other programs may write to the store: executors of
 	a service that it does not name are ignored.
 	*/
-	isNamedService: (service: string) => boolean;
+	isKnownService: (service: string) => boolean;
 	/** Whether executors of the service refuse tasks that exceed their capacity. */
 	isGuardedService: (service: string) => boolean;
 	onList: (executors: readonly Executor[]) => void;
@@ -132,7 +132,7 @@
 	}
 
 	function pickKnownServices(listed: readonly Executor[]): Executor[] {
-		const ignored = listed.filter(({service}) => !isNamedService(service));
+		const ignored = listed.filter(({service}) => !isKnownService(service));
 		for (const {id, service} of ignored) {
 			if (!ignoredIds.has(id)) {
 				log('executor ignored: the configuration does not name its service', {
--- a/packages/host/src/scheduling/executor-registrations.ts
+++ b/packages/host/src/scheduling/executor-registrations.ts
@@ -58,16 +58,19 @@
 		const usable =
 			capacity === undefined
 				? former?.executor
-				: {capacity, saidAt: findFirstReadAt(registration, former) ?? askedAt};
+				: {
+						capacity,
+						capacityReadAt: findFirstReadAt(registration, former) ?? askedAt,
+					};
 		if (!usable) {
 			return undefined;
 		}
 
 		const executor: Executor = {
 			...rest,
-			isGuarded: isGuardedService(registration.service),
+			isCapacityEnforced: isGuardedService(registration.service),
 			capacity: usable.capacity,
-			saidAt: usable.saidAt,
+			capacityReadAt: usable.capacityReadAt,
 		};
 		known.set(registration.id, {executor, sequence, revision});
 		return executor;
@@ -120,6 +123,6 @@
 	return isNumbered &&
 		former?.sequence === sequence &&
 		former?.revision === revision
-		? former?.executor.saidAt
+		? former?.executor.capacityReadAt
 		: undefined;
 }
--- a/packages/host/src/scheduling/faulty/faulty-host.fixture.ts
+++ b/packages/host/src/scheduling/faulty/faulty-host.fixture.ts
@@ -14,7 +14,7 @@
 import {createExecutorLists} from '../executor-lists.js';
 import {HostRoles, type Peers} from '../host-roles.js';
 import {createSchedulingHandlers} from '../scheduling-handlers.js';
-import {type ExecutorSource} from '../surroundings.js';
+import {type ExecutorSource} from '../host-dependencies.js';
 
 const updateIntervalMs = 50;
 
@@ -34,7 +34,7 @@
 	isGuarded: boolean;
 	/** Keys of the data centre's hosts, in the order in which they may take over the group. */
 	listTakeoverOrder: () => readonly string[];
-	peers: Omit<Peers, 'listOrder' | 'getCores'>;
+	peers: Omit<Peers, 'listCandidates' | 'getCores'>;
 	log: (message: string, fields: Record<string, unknown>) => void;
 };
 
@@ -192,7 +192,7 @@
 	setStopping(isStopping: boolean): void {
 		this.run(({roles}) => {
 			roles.isStopping = isStopping;
-			roles.tellState();
+			roles.sendState();
 		});
 	}
 
@@ -259,7 +259,7 @@
 				list: (options) =>
 					waitWhileFrozen(this.environment.executors.list(options)),
 			},
-			isNamedService: () => true,
+			isKnownService: () => true,
 			isGuardedService: () => this.environment.isGuarded,
 			isHolder: () => roles.holding.scheduler !== undefined,
 			onList(list) {
@@ -279,7 +279,7 @@
 			),
 			control: wrapControl(this.environment.control, waitWhileFrozen),
 			executors: lists,
-			peers: {...peers, listOrder: listTakeoverOrder, getCores: () => 1},
+			peers: {...peers, listCandidates: listTakeoverOrder, getCores: () => 1},
 			getLeaseId: () => 1,
 			now: () => this.#readMonotonicClock(),
 			readBootTime: () => clock.now,
@@ -302,7 +302,7 @@
 				receiveHosts: doNothing,
 			},
 			roles,
-			tables: {tell: doNothing, receive: doNothing},
+			tables: {sendVersion: doNothing, receive: doNothing},
 			findAddress: () => '',
 			now: () => this.#readMonotonicClock(),
 			log,
--- a/packages/host/src/scheduling/faulty/faulty-store.fixture.ts
+++ b/packages/host/src/scheduling/faulty/faulty-store.fixture.ts
@@ -10,7 +10,7 @@
 	type StoreItem,
 } from '@gentianshift/scheduling';
 import {type VirtualClock} from '@gentianshift/scheduling/fixtures';
-import {type ExecutorSource} from '../surroundings.js';
+import {type ExecutorSource} from '../host-dependencies.js';
 
 const answerDelayMs = 4;
 /** Time-out of a call that gets no answer. */
--- a/packages/host/src/scheduling/faulty/run-plan.fixture.ts
+++ b/packages/host/src/scheduling/faulty/run-plan.fixture.ts
@@ -10,10 +10,10 @@
 import {
 	countStartsAfterCrashes,
 	createFakeExecutors,
-	findOverfull,
+	findOverloads,
 	findOverlaps,
 	VirtualClock,
-	type CallFate,
+	type CallOutcome,
 	type FakeCall,
 	type FakeExecutors,
 } from '@gentianshift/scheduling/fixtures';
@@ -170,7 +170,7 @@
 		yield* findOverlaps(runs).map(
 			(pair) => `task ran twice at a time: ${pair}`,
 		);
-		yield* findOverfull(this.#executors, capacityGraceMs).map(
+		yield* findOverloads(this.#executors, capacityGraceMs).map(
 			(start) => `start exceeded the executor's capacity: ${start}`,
 		);
 		for (const [task, starts] of countStartsAfterCrashes(runs, crashLimit)) {
@@ -210,14 +210,14 @@
 		const executors = createFakeExecutors(this.clock, {
 			count: executorCount,
 			taskMs: ({job}) => this.#runMsByJob.get(job) ?? 0,
-			decideFate: (call) => this.#decideFate(call),
-			lookMs: pollIntervalMs,
+			decideOutcome: (call) => this.#decideFate(call),
+			pollIntervalMs,
 			stopMs: this.options.stopDelayMs,
-			isGuarded: this.options.isGuarded,
+			isCapacityEnforced: this.options.isGuarded,
 			getDemand: (job) => this.#makeDemand(job),
 			findCrashMs: ({job, index}) =>
 				index === 0 ? this.#crashAfterMsByJob.get(job) : undefined,
-			getBackMs: () => this.options.restartDelayMs,
+			getRestartMs: () => this.options.restartDelayMs,
 			onCrash: (former, next) => {
 				this.#replaceExecutor(former, next);
 			},
@@ -246,7 +246,7 @@
 		});
 	}
 
-	#decideFate({executor}: FakeCall): CallFate {
+	#decideFate({executor}: FakeCall): CallOutcome {
 		for (const fault of this.#callFaults) {
 			const [name] = executor.split('.', 1);
 			if (name === `e${fault.executor + 1}`) {
--- a/packages/host/src/scheduling/faulty/start-fault.fixture.ts
+++ b/packages/host/src/scheduling/faulty/start-fault.fixture.ts
@@ -210,9 +210,9 @@
 		};
 	}
 
-	fake.cutFrom = 'all';
+	fake.unreachableFrom = 'all';
 	return () => {
-		fake.cutFrom = new Set();
+		fake.unreachableFrom = new Set();
 	};
 }
 
@@ -222,7 +222,7 @@
 	{executors, store, activeShrinks}: FaultySystem,
 ): () => void {
 	const fake = executors.fakes[fault.executor]!;
-	const fullCapacity: TaskDemand = fake.said[0]!.capacity;
+	const fullCapacity: TaskDemand = fake.capacityHistory[0]!.capacity;
 	const publishCapacity = () => {
 		const shares = [...activeShrinks]
 			.filter(({executor}) => executor === fault.executor)
--- a/packages/host/src/scheduling/group-holding.test.ts
+++ b/packages/host/src/scheduling/group-holding.test.ts
@@ -89,7 +89,7 @@
 			onChange() {
 				// Nobody is notified.
 			},
-			takeElsewhere: () => 0,
+			takeRoomElsewhere: () => 0,
 			isListComplete: () => true,
 			isListFresh: () => true,
 			listPeers: () => [],
@@ -232,9 +232,9 @@
 		dataCentre: 'mieres',
 		service: 'meals',
 		isDraining: false,
-		isGuarded: true,
+		isCapacityEnforced: true,
 		capacity: {cpu: 32_000, memoryMb: 1000, accelerators: 0},
-		saidAt: 0,
+		capacityReadAt: 0,
 	};
 	let known = executor;
 	const seen: boolean[] = [];
--- a/packages/host/src/scheduling/group-holding.ts
+++ b/packages/host/src/scheduling/group-holding.ts
@@ -159,7 +159,7 @@
 				isSelf: false,
 				isReleased: known.state.isReleased || known.holder === hostKey,
 				isLeaving: known.state.isLeaving || known.state.successor === hostKey,
-				silentMs: at - known.heardAt,
+				silentMs: at - known.lastHeardAt,
 				storeAgeMs: known.state.storeAgeMs,
 			},
 			ownStoreAgeMs: ports.getStoreAgeMs(),
--- a/packages/host/src/scheduling/surroundings.ts
+++ b/packages/host/src/scheduling/host-dependencies.ts
@@ -37,7 +37,7 @@
 	}) => ResultAsync<ExecutorWord[], StoreFailure>;
 };
 
-export type Surroundings = {
+export type HostDependencies = {
 	store: CoordinationStore;
 	queueTables: QueueTableSource;
 	executors: ExecutorSource;
--- a/packages/host/src/scheduling/host-roles.ts
+++ b/packages/host/src/scheduling/host-roles.ts
@@ -10,7 +10,7 @@
 	createSuccession,
 	EntryJobs,
 	parseProcessId,
-	stateEveryMs,
+	stateIntervalMs,
 	type CoordinationStore,
 	type Entry,
 	type EntryJob,
@@ -58,7 +58,7 @@
 	/** Incarnations of that host whose processes are connected to this one. */
 	listIncarnations: (key: string) => readonly string[];
 	/** Hosts that could hold the group of this data centre, the preferred one first. */
-	listOrder: () => readonly string[];
+	listCandidates: () => readonly string[];
 	/** Processor cores that a host may use. */
 	getCores: (key: string) => number;
 };
@@ -123,18 +123,18 @@
 		// Answers the state of the previous update, before the state is refreshed. After a pause of
 		// this process, the disconnections of callers that left meanwhile are then read before
 		// their jobs' claims are renewed.
-		this.entry.answerState(this.#options.dataCentre);
+		this.entry.renewClaims(this.#options.dataCentre);
 		this.#refreshOwnState();
 		this.entry.update();
-		if (this.#options.now() - this.#stateSentAt >= stateEveryMs) {
-			this.tellState();
+		if (this.#options.now() - this.#stateSentAt >= stateIntervalMs) {
+			this.sendState();
 		}
 	}
 
 	/**
 	Sends the state of the group that this host holds, or has just given up, to all connected hosts.
 	*/
-	tellState(): void {
+	sendState(): void {
 		const state = this.#findStateToSend();
 		if (state) {
 			this.#stateSentAt = this.#options.now();
@@ -184,7 +184,7 @@
 			store,
 			groups: this.groups,
 			now,
-			listCandidates: peers.listOrder,
+			listCandidates: peers.listCandidates,
 			hasPeers: () => peers.listLinks().length > 0,
 			getLeaseId: this.#options.getLeaseId,
 			listExecutors: () => executors.list(),
@@ -198,7 +198,7 @@
 				onChange: () => {
 					this.#sendFirstReadyState();
 				},
-				takeElsewhere: (cpu, tasks) =>
+				takeRoomElsewhere: (cpu, tasks) =>
 					this.groups.takeElsewhere({home: dataCentre, cpu, tasks}, now()),
 				isListComplete: () => executors.isComplete(),
 				isListFresh: () => executors.isFresh(),
@@ -208,8 +208,8 @@
 				getStoreAgeMs: () => measureStoreAge(store, now()),
 			},
 			onChange: () => {
-				this.tellState();
-				this.entry.handOver(dataCentre);
+				this.sendState();
+				this.entry.sendGroupTasks(dataCentre);
 			},
 			log: this.#options.log,
 		});
@@ -246,7 +246,7 @@
 
 	#chooseSuccessor(): string | undefined {
 		const {key, peers, now} = this.#options;
-		const [strongest] = peers.listOrder();
+		const [strongest] = peers.listCandidates();
 		const contender =
 			strongest === undefined
 				? undefined
@@ -302,8 +302,8 @@
 	#sendFirstReadyState(): void {
 		if (!this.#isReadyStateSent && this.holding.scheduler?.isReady) {
 			this.#refreshOwnState();
-			this.tellState();
-			this.entry.placeWaiting();
+			this.sendState();
+			this.entry.placeWaitingJobs();
 		}
 	}
 }
--- a/packages/host/src/scheduling/index.ts
+++ b/packages/host/src/scheduling/index.ts
@@ -3,4 +3,4 @@
 	type SchedulingHost,
 	type SchedulingHostOptions,
 } from './start-scheduling-host.js';
-export type * from './surroundings.js';
+export type * from './host-dependencies.js';
--- a/packages/host/src/scheduling/queue-tables.test.ts
+++ b/packages/host/src/scheduling/queue-tables.test.ts
@@ -9,7 +9,10 @@
 import {type MessageOf} from '@gentianshift/protocol';
 import {type StoreFailure} from '@gentianshift/scheduling';
 import {createQueueTables} from './queue-tables.js';
-import {type ConfigurationRead, type QueueTableSource} from './surroundings.js';
+import {
+	type ConfigurationRead,
+	type QueueTableSource,
+} from './host-dependencies.js';
 
 function createTables(source: Pick<QueueTableSource, 'read' | 'watch'>) {
 	const sent: Array<MessageOf<'queue-table'>> = [];
@@ -22,7 +25,7 @@
 					version: Number(text),
 					queues: [],
 					services: [`service-${text}`],
-					guardedServices: [],
+					capacityEnforcingServices: [],
 					maxBodyBytes: 1000,
 				}),
 		},
--- a/packages/host/src/scheduling/queue-tables.ts
+++ b/packages/host/src/scheduling/queue-tables.ts
@@ -8,7 +8,10 @@
 import {type QueueTable} from '@gentianshift/scheduling';
 import {type MessageOf} from '@gentianshift/protocol';
 import {waitFor} from '../timers.js';
-import {type ConfigurationRead, type QueueTableSource} from './surroundings.js';
+import {
+	type ConfigurationRead,
+	type QueueTableSource,
+} from './host-dependencies.js';
 
 /**
 How long one watch waits. A watch that has gone silent is noticed no sooner, so this stays under the
@@ -49,7 +52,7 @@
 		answer: (message: MessageOf<'queue-table'>) => void,
 	) => void;
 	/** Sends this host's version number to a new peer. */
-	tell: (send: (message: MessageOf<'queue-table'>) => void) => void;
+	sendVersion: (send: (message: MessageOf<'queue-table'>) => void) => void;
 };
 
 export type QueueTablesOptions = {
@@ -139,7 +142,7 @@
 		isKnownService: (service) =>
 			table === undefined || knownServices.has(service),
 		isGuardedService: (service) =>
-			table?.guardedServices.includes(service) ?? false,
+			table?.capacityEnforcingServices.includes(service) ?? false,
 		async waitForTable() {
 			await firstTableWait;
 			return table;
@@ -161,7 +164,7 @@
 				applyText(message.text, 'peer');
 			}
 		},
-		tell(send) {
+		sendVersion(send) {
 			if (table) {
 				send({t: 'queue-table', version: table.version});
 			}
--- a/packages/host/src/scheduling/scheduling-handlers.ts
+++ b/packages/host/src/scheduling/scheduling-handlers.ts
@@ -28,7 +28,7 @@
 		HostRoles,
 		'crashes' | 'entry' | 'groups' | 'holding' | 'sendStateTo'
 	>;
-	tables: Pick<QueueTables, 'tell' | 'receive'>;
+	tables: Pick<QueueTables, 'sendVersion' | 'receive'>;
 	/** The address at which this host dials the peer. */
 	findAddress: (key: string) => string;
 	now: () => number;
@@ -53,8 +53,8 @@
 			directory.markLinkUp(link, findAddress(link.key));
 			roles.sendStateTo(link);
 			entry.markLinkUp(link.key, link.hello.incarnation);
-			entry.sendAgain(link.key);
-			tables.tell((message) => {
+			entry.sendAfterReconnect(link.key);
+			tables.sendVersion((message) => {
 				link.send(message);
 			});
 		},
@@ -100,7 +100,7 @@
 			}
 
 			case 'group-state': {
-				roles.crashes.learn(message.crashes ?? [], now());
+				roles.crashes.addReported(message.crashes ?? [], now());
 				if (groups.update(session.key, message, now())) {
 					log('group has another holder', {
 						group: message.group,
@@ -108,7 +108,7 @@
 						holder: session.key,
 					});
 					roles.holding.releaseIfReplaced();
-					entry.handOver(message.group);
+					entry.sendGroupTasks(message.group);
 				}
 
 				entry.receiveState(message.group);
--- a/packages/host/src/scheduling/start-scheduling-host.ts
+++ b/packages/host/src/scheduling/start-scheduling-host.ts
@@ -24,7 +24,7 @@
 import {createSchedulingHandlers} from './scheduling-handlers.js';
 import {recordAnswer, setGauges, wrapControl} from './scheduling-metrics.js';
 import {measureStoreAge} from './store-age.js';
-import {type Surroundings} from './surroundings.js';
+import {type HostDependencies} from './host-dependencies.js';
 
 /** Interval of the check for time limits that have passed: a tenth of the shortest one. */
 const updateIntervalMs = 50;
@@ -60,7 +60,7 @@
 	seeds: readonly string[];
 	/** Processor cores that this host may use; undefined: not known. */
 	cores?: number;
-	surroundings: Surroundings;
+	dependencies: HostDependencies;
 	metrics: Metrics;
 	log: (message: string, fields: Record<string, unknown>) => void;
 };
@@ -123,7 +123,7 @@
 	constructor(options: SchedulingHostOptions, hash: Hash64) {
 		this.#options = options;
 		this.#identity = createIdentity({host: options.host});
-		const {log, surroundings, address} = options;
+		const {log, dependencies: surroundings, address} = options;
 		const {random} = Math;
 		this.#presence = createHostPresence({
 			self: {...options.host, role: 'entry', address, state: 'live'},
@@ -158,7 +158,7 @@
 		this.#executors = createExecutorLists({
 			source: surroundings.executors,
 			isHolder: () => this.#roles.holding.scheduler !== undefined,
-			isNamedService: (service) => this.#tables.isKnownService(service),
+			isKnownService: (service) => this.#tables.isKnownService(service),
 			isGuardedService: (service) => this.#tables.isGuardedService(service),
 			onList: (list) => {
 				this.#roles.holding.setExecutors(list);
@@ -235,7 +235,7 @@
 					(sum, work) => sum + work,
 					0,
 				) / thousandthsPerCore,
-			storeAgeMs: measureStoreAge(this.#options.surroundings.store, readNow()),
+			storeAgeMs: measureStoreAge(this.#options.dependencies.store, readNow()),
 			crashesBlamed: this.#roles.crashes.blamedCount,
 			jobs: this.#roles.entry.size,
 		});
@@ -245,7 +245,7 @@
 	async startStopping(): Promise<void> {
 		this.#roles.isStopping = true;
 		this.#directory.startStopping();
-		this.#roles.tellState();
+		this.#roles.sendState();
 		const limitAt = readNow() + handoverLimitMs;
 		while (this.#roles.holding.scheduler && readNow() < limitAt) {
 			await waitFor(handoverCheckMs);
@@ -254,16 +254,16 @@
 
 	async stop(): Promise<void> {
 		this.#roles.holding.stop();
-		this.#roles.tellState();
+		this.#roles.sendState();
 		clearInterval(this.#timer);
 		this.#stopController.abort();
 		await this.#presence.end();
 		await this.#mesh.stop();
-		await this.#options.surroundings.store.close();
+		await this.#options.dependencies.store.close();
 	}
 
 	#createRoles(): HostRoles {
-		const {surroundings, log, host, metrics} = this.#options;
+		const {dependencies: surroundings, log, host, metrics} = this.#options;
 		const {key, ownerId} = this.#identity;
 		const {view} = this.#directory;
 		return new HostRoles({
@@ -278,7 +278,7 @@
 				listKeys: () => this.#mesh.listPeers(),
 				findLink: (peer) => this.#mesh.findLink(peer),
 				listIncarnations: (peer) => this.#mesh.listIncarnations(peer),
-				listOrder: () =>
+				listCandidates: () =>
 					this.#directory.listStrongest(schedulerRole, host.dataCentre),
 				getCores: (peer) => view.getCores(peer),
 			},
@@ -302,7 +302,7 @@
 
 	#reportAnswer(job: EntryJob, answer: JobAnswer, tookMs: number): void {
 		const {log, metrics} = this.#options;
-		const {arrivedAt, startToldAt} = job;
+		const {arrivedAt, firstStartReportedAt: startToldAt} = job;
 		recordAnswer(metrics, job, answer, tookMs);
 		log('job answered', {
 			job: job.request.id,
@@ -315,7 +315,7 @@
 					? undefined
 					: Math.round(startToldAt - arrivedAt),
 			objectiveMs: Math.round(job.dueAt - arrivedAt),
-			timeLeftMs: Math.round(job.endsAt - arrivedAt),
+			timeLeftMs: Math.round(job.callerDeadlineAt - arrivedAt),
 			...answer,
 		});
 	}
--- a/packages/membership/src/host-view.test.ts
+++ b/packages/membership/src/host-view.test.ts
@@ -27,7 +27,7 @@
 	// The list lags: a host that died a moment ago is still listed as live. A role given to it
 	// would have no holder, and tasks would wait for slots that nobody lends.
 	const view = createHostView(h1);
-	view.takePlatformList([h1, h2]);
+	view.applyPlatformList([h1, h2]);
 	assert.deepEqual(listNames(view.listPeers(0)), ['h2']);
 	assert.deepEqual(view.listEligible('mieres', 0), [key1]);
 });
@@ -35,7 +35,7 @@
 test('a host that answers is live although the list lacks it', () => {
 	const view = createHostView(h1);
 	view.markConnected(h2);
-	view.takePlatformList([h1]);
+	view.applyPlatformList([h1]);
 	assert.deepEqual(view.listEligible('mieres', 0), [key1, key2]);
 	assert.deepEqual(listNames(view.listPeers(0)), ['h2']);
 });
@@ -61,7 +61,7 @@
 	{
 		source: 'the platform',
 		announceLeaving(view: ReturnType<typeof createHostView>) {
-			view.takePlatformList([h1, {...h2, state: 'leaving'}]);
+			view.applyPlatformList([h1, {...h2, state: 'leaving'}]);
 		},
 	},
 ]) {
@@ -82,16 +82,16 @@
 	// Without the platform's list the new host knows no other. The old hosts still dial its
 	// address, and the first of these connections brings the list of all the others.
 	const [old, fresh] = [createHostView(h1), createHostView(h2)];
-	old.takePlatformList([h1, h2, h3]);
+	old.applyPlatformList([h1, h2, h3]);
 	fresh.markConnected(h1);
-	fresh.takePeerList(old.exportHosts(), 0);
+	fresh.applyPeerList(old.exportHosts(), 0);
 	assert.deepEqual(listNames(fresh.listPeers(0)), ['h1', 'h3']);
 });
 
 test('hosts that only peers have named are not passed on, and are forgotten', () => {
 	// Otherwise hosts that repeat each other's lists would keep a dead host listed for ever.
 	const view = createHostView(h1);
-	view.takePeerList([h3], 0);
+	view.applyPeerList([h3], 0);
 	assert.deepEqual(listNames(view.exportHosts()), ['h1']);
 	assert.deepEqual(view.listPeers(forgetAfterMs + 1), []);
 });
@@ -99,7 +99,7 @@
 test('the address of a working connection is preferred to the list’s', () => {
 	const view = createHostView(h1);
 	view.markConnected({...h2, address: '127.0.0.1:9999'});
-	view.takePlatformList([h1, h2]);
+	view.applyPlatformList([h1, h2]);
 	assert.equal(view.listPeers(0)[0]?.address, '127.0.0.1:9999');
 	view.markClosed(key2, 'closed', 0);
 	assert.equal(view.listPeers(0)[0]?.address, h2.address);
@@ -107,7 +107,7 @@
 
 test('a worker that is leaving by the platform’s list is found by its IP', () => {
 	const view = createHostView(h1);
-	view.takePlatformList([
+	view.applyPlatformList([
 		buildHost('w1', {role: 'worker', address: '10.0.0.1', state: 'leaving'}),
 	]);
 	assert.ok(view.isWorkerLeaving('10.0.0.1:7000'));
--- a/packages/membership/src/host-view.ts
+++ b/packages/membership/src/host-view.ts
@@ -43,9 +43,9 @@
 
 export type HostView = {
 	/** Replaces the previous list of the platform. */
-	takePlatformList: (hosts: readonly KnownHost[]) => void;
+	applyPlatformList: (hosts: readonly KnownHost[]) => void;
 	/** What a peer knows itself: its list, or its hello on a connection that it dialled. */
-	takePeerList: (hosts: readonly KnownHost[], now: number) => void;
+	applyPeerList: (hosts: readonly KnownHost[], now: number) => void;
 	/**
 	A host has answered on a connection that this host dialled; `address` is the one that was
 	dialled.
@@ -120,7 +120,7 @@
 		this.#selfKey = formatHostKey(self);
 	}
 
-	takePlatformList(hosts: readonly KnownHost[]): void {
+	applyPlatformList(hosts: readonly KnownHost[]): void {
 		this.#listedHosts = new Map(
 			hosts
 				.filter(({role}) => role === 'entry')
@@ -133,7 +133,7 @@
 		);
 	}
 
-	takePeerList(hosts: readonly KnownHost[], now: number): void {
+	applyPeerList(hosts: readonly KnownHost[], now: number): void {
 		for (const host of hosts) {
 			const key = formatHostKey(host);
 			if (host.role === 'entry' && key !== this.#selfKey) {
--- a/packages/scheduling/src/answer-times.ts
+++ b/packages/scheduling/src/answer-times.ts
@@ -24,34 +24,34 @@
 
 export type AnswerTimes = {
 	/** A call was answered, or failed, within the time-out. `tookMs`: how long that took. */
-	note: (tookMs: number) => void;
+	recordAnswer: (tookMs: number) => void;
 	/** A call had no answer within the time-out. */
-	noteLost: () => void;
+	recordLoss: () => void;
 	/** The time-out, milliseconds. */
-	getLimitMs: () => number;
+	getTimeoutMs: () => number;
 };
 
 /**
 @example
 const times = createAnswerTimes();
 times.note(2);
-times.getLimitMs(); // 40: the minimum
+times.getTimeoutMs(); // 40: the minimum
 */
 export function createAnswerTimes(): AnswerTimes {
 	let meanMs: number | undefined;
 	let deviationMs = 0;
 	let lossesInRow = 0;
 	return {
-		note(tookMs) {
+		recordAnswer(tookMs) {
 			lossesInRow = 0;
 			const errorMs = tookMs - (meanMs ?? tookMs);
 			meanMs = (meanMs ?? tookMs) + meanWeight * errorMs;
 			deviationMs += deviationWeight * (Math.abs(errorMs) - deviationMs);
 		},
-		noteLost() {
+		recordLoss() {
 			lossesInRow += 1;
 		},
-		getLimitMs() {
+		getTimeoutMs() {
 			if (meanMs === undefined || lossesInRow >= maxLossesInRow) {
 				return maxCallTimeoutMs;
 			}
--- a/packages/scheduling/src/changing-capacity.test.ts
+++ b/packages/scheduling/src/changing-capacity.test.ts
@@ -5,7 +5,7 @@
 import {test} from 'node:test';
 import {
 	createFakeExecutors,
-	findOverfull,
+	findOverloads,
 	type FakeCall,
 	type FakeExecutors,
 } from './fake-executors.fixture.js';
@@ -45,7 +45,7 @@
 		count: 1,
 		taskMs: ({job}) => (job === 'job1' ? 400 : 100),
 		getDemand: () => demand,
-		isGuarded: false,
+		isCapacityEnforced: false,
 	});
 	const part = makePart(clock, {tasks: makeTasks(2), remaining: 2});
 	scheduler.receivePart(entry, part);
@@ -59,7 +59,7 @@
 		makePart(clock, {job: 'job2', tasks: makeTasks(2), remaining: 2}),
 	);
 	await runFor(clock, 1000, [[scheduler, entry]]);
-	assert.deepEqual(findOverfull(executors, 0), []);
+	assert.deepEqual(findOverloads(executors, 0), []);
 	assert.deepEqual(listOutcomes(entry), ['done', 'done', 'done', 'done']);
 });
 
@@ -79,7 +79,7 @@
 		taskMs: 2000,
 		stopMs: 40,
 		getDemand: () => demand,
-		isGuarded: false,
+		isCapacityEnforced: false,
 	});
 	scheduler.receivePart(
 		entry,
@@ -95,7 +95,7 @@
 	assert.equal(executors.runs.length, 2);
 	await runFor(clock, 200, [[scheduler, entry]]);
 	assert.equal(executors.runs.length, 4);
-	assert.deepEqual(findOverfull(executors, 0), []);
+	assert.deepEqual(findOverloads(executors, 0), []);
 });
 
 // A start gets no answer and is carried out late, while the executor is silent. When the executor answers again, that
@@ -108,8 +108,8 @@
 		taskMs: 5000,
 		stopMs: 60,
 		getDemand: () => large,
-		isGuarded: false,
-		decideFate({kind}: FakeCall) {
+		isCapacityEnforced: false,
+		decideOutcome({kind}: FakeCall) {
 			if (kind === 'start' && lateMs > 0) {
 				return {type: 'late', ms: lateMs};
 			}
@@ -137,7 +137,7 @@
 
 	assert.equal(executors.runs.length, 2);
 	assert.equal(countActive(executors), 1);
-	assert.deepEqual(findOverfull(executors, 0), []);
+	assert.deepEqual(findOverloads(executors, 0), []);
 });
 
 // The added capacity would stay unused while tasks wait.
@@ -169,8 +169,8 @@
 		count: 1,
 		taskMs: 600,
 		getDemand: (job) => (job === 'large' ? large : demand),
-		isGuarded,
-		decideFate({kind, token}) {
+		isCapacityEnforced: isGuarded,
+		decideOutcome({kind, token}) {
 			if (kind === 'start' && token === 2) {
 				starts.push(`${clock.now}`);
 			}
@@ -208,7 +208,7 @@
 	assert.equal(executors.runs.length, 1);
 	second.receivePart(entry, {...part, stateAt: clock.now, isMoved: true});
 	await runFor(clock, 1500, [[second, entry]]);
-	assert.deepEqual(findOverfull(executors, 0), []);
+	assert.deepEqual(findOverloads(executors, 0), []);
 	assert.deepEqual(listOutcomes(entry), ['done', 'done', 'done']);
 });
 
@@ -217,7 +217,7 @@
 	const {clock, executors, entry, second} = await takeOver(false);
 	await runFor(clock, claimLimitMs + 2 * maxRenewWaitMs, [[second, entry]]);
 	assert.equal(countActive(executors), 2);
-	assert.deepEqual(findOverfull(executors, 0), []);
+	assert.deepEqual(findOverloads(executors, 0), []);
 });
 
 // The start would be sent and refused again and again, and each attempt costs a call.
--- a/packages/scheduling/src/claim-run.ts
+++ b/packages/scheduling/src/claim-run.ts
@@ -19,11 +19,11 @@
 ): ClaimRunResult | undefined {
 	const task = {job: id, index};
 	for (const session of sessions) {
-		if (!session.hasUnclaimed) {
+		if (!session.hasUnclaimedRuns) {
 			continue;
 		}
 
-		const end = session.takeStrayEnd(task);
+		const end = session.takeUnclaimedEnd(task);
 		if (end?.outcome === 'done') {
 			return {type: 'ended', attempt: end.attempt};
 		}
--- a/packages/scheduling/src/claims.test.ts
+++ b/packages/scheduling/src/claims.test.ts
@@ -108,7 +108,7 @@
 		executors.runs.map(({outcome}) => outcome),
 		['ended', 'done'],
 	);
-	assert.deepEqual(entry.replaced, []);
+	assert.deepEqual(entry.replacedMessages, []);
 });
 
 // A part arrives late, over a connection that has broken since. The job must not be stopped because of it.
@@ -177,9 +177,9 @@
 	const [fake] = executors.fakes;
 	scheduler.receivePart(entry, makePart(clock, long));
 	await runFor(clock, 850, [[scheduler, entry, []]]);
-	fake!.cutFrom = 'all';
+	fake!.unreachableFrom = 'all';
 	await runFor(clock, 100, [[scheduler, entry, []]]);
-	fake!.cutFrom = new Set();
+	fake!.unreachableFrom = new Set();
 	await runFor(clock, 1000, [[scheduler, entry]]);
 	assert.equal(executors.runs[0]?.outcome, 'done');
 	assert.deepEqual(listOutcomes(entry), ['done']);
@@ -205,16 +205,18 @@
 	const other = executors.fakes.find(
 		({executor}) => executor.id === executors.runs[1]?.executor,
 	);
-	other!.cutFrom = 'all';
+	other!.unreachableFrom = 'all';
 	await runFor(clock, 1000, [[scheduler, entry, []]]);
-	other!.cutFrom = new Set();
+	other!.unreachableFrom = new Set();
 	scheduler.receivePart(entry, {
 		...part,
 		stateAt: clock.now,
 		tasks: [[0, 2, 2]],
 	});
 	await runFor(clock, 2000, [[scheduler, entry]]);
-	const indices = entry.told.flatMap(({ends}) => ends.map(({index}) => index));
+	const indices = entry.endMessages.flatMap(({ends}) =>
+		ends.map(({index}) => index),
+	);
 	assert.ok(indices.includes(1), `ends of tasks ${indices.join(', ')}`);
 });
 
@@ -231,6 +233,6 @@
 	await runFor(clock, 100, [[scheduler, second, [7]]]);
 	scheduler.receivePart(entry, late);
 	await runFor(clock, 300, [[scheduler, second, [7]]]);
-	assert.deepEqual(second.replaced, []);
+	assert.deepEqual(second.replacedMessages, []);
 	assert.equal(executors.runs[0]?.endedAt, undefined);
 });
--- a/packages/scheduling/src/copy-recall.test.ts
+++ b/packages/scheduling/src/copy-recall.test.ts
@@ -153,7 +153,7 @@
 	entry.receiveReplaced('mieres_m1', confirmation);
 	assert.equal(list('part').length, 0);
 	groups.update('mieres_m2', makeState('mieres', {token: 7}), clock.now);
-	entry.handOver('mieres');
+	entry.sendGroupTasks('mieres');
 	entry.receiveReplaced('mieres_m2', {...confirmation, formerTokens: [7, 7]});
 	assert.equal(list('part').length, 1);
 });
--- a/packages/scheduling/src/copy-recall.ts
+++ b/packages/scheduling/src/copy-recall.ts
@@ -13,7 +13,7 @@
 import {type EntryJob} from './entry-job.js';
 import {type LostHolders} from './lost-holders.js';
 import {parseProcessId} from './process-id.js';
-import {entryWordLimitMs} from './timing.js';
+import {entryAnswerLimitMs} from './timing.js';
 
 /** A host that no reachable host could pass a recall on to is ignored for this long: it causes no further recalls. */
 const ignoreUnreachableMs = 1000;
@@ -90,7 +90,7 @@
 			entry: self,
 			passTo,
 		});
-		job.copyCheck?.hostsToAnswer?.set(host, now() + entryWordLimitMs);
+		job.copyCheck?.hostsToAnswer?.set(host, now() + entryAnswerLimitMs);
 	}
 
 	function ignoreUnreachable({hostsAnswered}: CopyCheck): void {
@@ -114,7 +114,7 @@
 		const isReconnecting = lostHolders.isReconnecting(host, now());
 		if (isReconnecting) {
 			pendingRecalls = pendingRecalls.filter(({until}) => now() <= until);
-			pendingRecalls.push({host, message, until: now() + entryWordLimitMs});
+			pendingRecalls.push({host, message, until: now() + entryAnswerLimitMs});
 		}
 
 		return isReconnecting;
@@ -138,7 +138,7 @@
 				if (peers.isLinked(host)) {
 					sendRecall(job, host, unlinked);
 				} else if (lostHolders.isReconnecting(host, now())) {
-					hostsToAnswer.set(host, now() + entryWordLimitMs);
+					hostsToAnswer.set(host, now() + entryAnswerLimitMs);
 				}
 			}
 		},
@@ -238,7 +238,7 @@
 			check.hostsAnswered.add(message.host);
 			for (const host of message.passedTo) {
 				if (!check.hostsAnswered.has(host)) {
-					check.hostsToAnswer.set(host, now() + entryWordLimitMs);
+					check.hostsToAnswer.set(host, now() + entryAnswerLimitMs);
 				}
 			}
 
--- a/packages/scheduling/src/copy-replacement.ts
+++ b/packages/scheduling/src/copy-replacement.ts
@@ -88,7 +88,7 @@
 				t: 'replace',
 				job: job.request.id,
 				takenAtMs: job.takenAtMs,
-				timeLeftMs: job.endsAt - now,
+				timeLeftMs: job.callerDeadlineAt - now,
 				formerTokens: findPlace(job, group, now)?.tokens,
 			});
 		}
@@ -107,7 +107,7 @@
 				.list()
 				.some(
 					(known) =>
-						isSilent(known, now) && now - known.heardAt <= longSilenceMs,
+						isSilent(known, now) && now - known.lastHeardAt <= longSilenceMs,
 				)
 		);
 	}
--- a/packages/scheduling/src/crash-records.test.ts
+++ b/packages/scheduling/src/crash-records.test.ts
@@ -11,16 +11,16 @@
 	assert.equal(records.judge(task), 'suspect');
 	assert.equal(records.addCrash(task, 'e2', 10), 2);
 	assert.equal(records.judge(task), 'condemned');
-	assert.equal(records.findCondemned('job1'), 0);
-	assert.equal(records.findCondemned('job2'), undefined);
+	assert.equal(records.findCondemnedTask('job1'), 0);
+	assert.equal(records.findCondemnedTask('job2'), undefined);
 });
 
 // Guards against counting a crash twice because two hosts report it.
 test('a crash that several hosts report counts once', () => {
 	const records = createCrashRecords();
 	records.addCrash(task, 'e1', 0);
-	records.learn([{...task, crashed: ['e1'], silent: []}], 5);
-	records.learn([{...task, crashed: ['e1'], silent: ['e1']}], 6);
+	records.addReported([{...task, crashed: ['e1'], silent: []}], 5);
+	records.addReported([{...task, crashed: ['e1'], silent: ['e1']}], 6);
 	assert.equal(records.addCrash(task, 'e1', 7), undefined);
 	assert.equal(records.judge(task), 'suspect');
 });
@@ -62,14 +62,17 @@
 
 test('crashes that this host noticed are reported for a while, those that others reported are not', () => {
 	const records = createCrashRecords();
-	records.learn([{job: 'job2', index: 3, crashed: ['e9'], silent: []}], 0);
+	records.addReported(
+		[{job: 'job2', index: 3, crashed: ['e9'], silent: []}],
+		0,
+	);
 	assert.equal(records.listRecent(0), undefined);
 	records.addCrash(task, 'e1', 0);
 	assert.deepEqual(records.listRecent(1000), [
 		{...task, crashed: ['e1'], silent: []},
 	]);
 	assert.equal(records.listRecent(3000), undefined);
-	assert.deepEqual(records.listOf('job1'), [
+	assert.deepEqual(records.listByJob('job1'), [
 		{...task, crashed: ['e1'], silent: []},
 	]);
 });
@@ -81,8 +84,8 @@
 		records.addCrash({job: `job${index}`, index}, 'e1', index);
 	}
 
-	assert.equal(records.listOf('job0'), undefined);
-	assert.notEqual(records.listOf('job4999'), undefined);
+	assert.equal(records.listByJob('job0'), undefined);
+	assert.notEqual(records.listByJob('job4999'), undefined);
 	records.forgetOld(100_000);
 	assert.ok(records.isEmpty);
 });
--- a/packages/scheduling/src/crash-records.ts
+++ b/packages/scheduling/src/crash-records.ts
@@ -53,12 +53,12 @@
 	/** Removes the executor from all tasks: it answers under the same id, so it has not crashed. */
 	clearExecutor: (executor: string) => void;
 	/** Adds what another host has reported. */
-	learn: (reported: readonly TaskCrashes[], now: number) => void;
+	addReported: (reported: readonly TaskCrashes[], now: number) => void;
 	judge: (task: TaskName) => CrashVerdict;
 	/** Returns the index of a condemned task of the job, for which the job is given up. */
-	findCondemned: (job: string) => number | undefined;
+	findCondemnedTask: (job: string) => number | undefined;
 	/** Returns the crashes under one job's tasks; undefined if none is known. */
-	listOf: (job: string) => TaskCrashes[] | undefined;
+	listByJob: (job: string) => TaskCrashes[] | undefined;
 	/**
 	Returns the tasks for which this host itself recorded a crash or a silence recently; undefined if there are
 	none.
@@ -204,7 +204,7 @@
 				record.silent.delete(executor);
 			}
 		},
-		learn(reported, now) {
+		addReported(reported, now) {
 			for (const {job, index, crashed, silent} of reported) {
 				for (const executor of crashed) {
 					recordCrash({job, index}, executor, now);
@@ -219,7 +219,7 @@
 			const record = records.get(formatTaskKey(task));
 			return record ? judgeRecord(record) : 'sound';
 		},
-		findCondemned(job) {
+		findCondemnedTask(job) {
 			for (const key of taskKeysByJob.get(job) ?? []) {
 				const record = records.get(key)!;
 				if (judgeRecord(record) === 'condemned') {
@@ -229,7 +229,7 @@
 
 			return undefined;
 		},
-		listOf(job) {
+		listByJob(job) {
 			const keys = [...(taskKeysByJob.get(job) ?? [])];
 			return toTaskCrashes(keys.map((key) => records.get(key)!));
 		},
--- a/packages/scheduling/src/crash-watch.test.ts
+++ b/packages/scheduling/src/crash-watch.test.ts
@@ -12,7 +12,7 @@
 		demand: noDemand,
 		state: 'running',
 		startedAt: 0,
-		isFound: false,
+		isUnclaimed: false,
 		...run,
 	};
 }
@@ -25,7 +25,7 @@
 		onSilence(runs) {
 			calls.push(`silence ${list(runs)}`);
 		},
-		onCleared() {
+		onNotCrashed() {
 			calls.push('cleared');
 		},
 		onCrash(runs) {
@@ -37,8 +37,8 @@
 
 test('a crash is blamed on the current runs and on those given up during the silence before it', () => {
 	const {watch, calls} = createWatch();
-	watch.noteLapsed([makeRun(0)]);
-	watch.noteGone([makeRun(1)]);
+	watch.noteLeaseExpired([makeRun(0)]);
+	watch.noteProcessEnded([makeRun(1)]);
 	assert.deepEqual(calls, ['silence 0', 'crash 0 1']);
 });
 
@@ -46,7 +46,7 @@
 // executor refused them.
 test('a run that was stopped or refused is not blamed', () => {
 	const {watch, calls} = createWatch();
-	watch.noteGone([
+	watch.noteProcessEnded([
 		makeRun(0, {stoppedAt: 10}),
 		makeRun(1, {isRefused: true}),
 		makeRun(2, {state: 'stopping'}),
@@ -56,16 +56,16 @@
 
 test('an executor that answers again is cleared', () => {
 	const {watch, calls} = createWatch();
-	watch.noteLapsed([makeRun(0)]);
+	watch.noteLeaseExpired([makeRun(0)]);
 	watch.noteAnswer();
-	watch.noteGone([]);
+	watch.noteProcessEnded([]);
 	assert.deepEqual(calls, ['silence 0', 'cleared']);
 });
 
 // Guards against taking a planned shutdown of an executor for a crash.
 test('an executor that drains has not crashed', () => {
 	const {watch, calls} = createWatch(true);
-	watch.noteLapsed([makeRun(0)]);
-	watch.noteGone([makeRun(1)]);
+	watch.noteLeaseExpired([makeRun(0)]);
+	watch.noteProcessEnded([makeRun(1)]);
 	assert.deepEqual(calls, ['cleared']);
 });
--- a/packages/scheduling/src/crash-watch.ts
+++ b/packages/scheduling/src/crash-watch.ts
@@ -10,23 +10,23 @@
 	/** The executor is silent, and the lease of these runs has expired. */
 	onSilence: (runs: readonly Run[]) => void;
 	/** The executor has not crashed, or its shutdown was planned. */
-	onCleared: () => void;
+	onNotCrashed: () => void;
 	onCrash: (runs: readonly Run[]) => void;
 };
 
 export type CrashWatch = {
 	/** To be called with runs that were given up because the executor is silent and their lease has expired. */
-	noteLapsed: (runs: readonly Run[]) => void;
+	noteLeaseExpired: (runs: readonly Run[]) => void;
 	/** To be called when the executor answers under the same id as before. */
 	noteAnswer: () => void;
 	/** To be called when the executor's process has ended; `runs` are those that it had until then. */
-	noteGone: (runs: readonly Run[]) => void;
+	noteProcessEnded: (runs: readonly Run[]) => void;
 };
 
 export function createCrashWatch(ports: CrashWatchPorts): CrashWatch {
 	let expiredRuns: readonly Run[] = [];
 	return {
-		noteLapsed(runs) {
+		noteLeaseExpired(runs) {
 			const suspects = pickSuspects(runs);
 			expiredRuns = [...expiredRuns, ...suspects];
 			if (suspects.length > 0 && !ports.isDraining()) {
@@ -35,13 +35,13 @@
 		},
 		noteAnswer() {
 			expiredRuns = [];
-			ports.onCleared();
+			ports.onNotCrashed();
 		},
-		noteGone(runs) {
+		noteProcessEnded(runs) {
 			const suspects = [...expiredRuns, ...pickSuspects(runs)];
 			expiredRuns = [];
 			if (ports.isDraining()) {
-				ports.onCleared();
+				ports.onNotCrashed();
 			} else if (suspects.length > 0) {
 				ports.onCrash(suspects);
 			}
--- a/packages/scheduling/src/crashes.test.ts
+++ b/packages/scheduling/src/crashes.test.ts
@@ -47,7 +47,7 @@
 	await runFor(clock, longMs, [[scheduler, entry]]);
 	const starts = executors.runs.filter(({index}) => index === 0);
 	assert.equal(starts.length, 2);
-	assert.equal(countCrashes(entry.told), 2);
+	assert.equal(countCrashes(entry.endMessages), 2);
 	assert.deepEqual(
 		executors.runs.filter(({endedAt}) => endedAt === undefined),
 		[],
@@ -64,7 +64,7 @@
 	scheduler.receivePart(other, makePart(clock, {timeLeftMs: longMs}));
 	await runFor(clock, 1000, [[scheduler, other]]);
 	assert.equal(executors.runs.length, before);
-	assert.equal(countCrashes(other.told), 2);
+	assert.equal(countCrashes(other.endMessages), 2);
 });
 
 // Guards against a crash count that starts at zero in each group that the task is moved to.
@@ -74,7 +74,7 @@
 	scheduler.receivePart(entry, makePart(clock, {crashes, timeLeftMs: longMs}));
 	await runFor(clock, 10_000, [[scheduler, entry]]);
 	assert.equal(executors.runs.length, 1);
-	assert.equal(countCrashes(entry.told), 2);
+	assert.equal(countCrashes(entry.endMessages), 2);
 });
 
 // Guards against giving up tasks that caused no crash but shared an executor with one that did.
@@ -116,27 +116,27 @@
 			({endedAt}) => endedAt === undefined,
 		)!;
 		const cut = executors.fakes.find(({executor}) => executor.id === id)!;
-		cut.cutFrom = 'all';
+		cut.unreachableFrom = 'all';
 		await runFor(clock, 1500, [[scheduler, entry]]);
-		cut.cutFrom = new Set();
+		cut.unreachableFrom = new Set();
 		await runFor(clock, 1000, [[scheduler, entry]]);
 	}
 
 	await runFor(clock, 8000, [[scheduler, entry]]);
 	assert.equal(executors.runs.at(-1)!.outcome, 'done');
-	assert.equal(countCrashes(entry.told), 0);
+	assert.equal(countCrashes(entry.endMessages), 0);
 });
 
 // Guards against crashing one executor after another while the crash of the earlier ones is not confirmed yet.
 test('a task waits while two silent executors may have crashed under it', async () => {
 	const {clock, executors, scheduler, entry} = await openCrashing({
-		getBackMs: () => 8000,
+		getRestartMs: () => 8000,
 	});
 	scheduler.receivePart(entry, makePart(clock, {timeLeftMs: longMs}));
 	await runFor(clock, 7000, [[scheduler, entry]]);
 	assert.equal(executors.runs.length, 2);
-	assert.equal(countCrashes(entry.told), 0);
+	assert.equal(countCrashes(entry.endMessages), 0);
 	await runFor(clock, 6000, [[scheduler, entry]]);
 	assert.equal(executors.runs.length, 2);
-	assert.equal(countCrashes(entry.told), 2);
+	assert.equal(countCrashes(entry.endMessages), 2);
 });
--- a/packages/scheduling/src/ends-outbox.ts
+++ b/packages/scheduling/src/ends-outbox.ts
@@ -12,7 +12,7 @@
 	/** Queues an end for the next `flush`. */
 	add: (job: GroupJob, end: TaskEnd, now: number) => void;
 	/** Sends at once that these tasks are returned to the entry, as they are not started here. */
-	giveBack: (
+	sendReturned: (
 		job: GroupJob,
 		tasks: readonly GroupTask[],
 		reason: NonNullable<Ends['reason']>,
@@ -22,11 +22,11 @@
 	Sends at once that the first task of the job is being started: the entry may no longer refuse the job as
 	unstarted.
 	*/
-	tellStarted: (job: GroupJob) => void;
+	sendStarted: (job: GroupJob) => void;
 	/** Queues the ends that were sent before for tasks of this part: they may not have arrived. */
-	tellAgain: (job: GroupJob, part: Part) => void;
+	addSentEnds: (job: GroupJob, part: Part) => void;
 	/** The end of this placement of the task was sent to its entry. */
-	isTold: (job: GroupJob, task: GroupTask) => boolean;
+	hasSentEnd: (job: GroupJob, task: GroupTask) => boolean;
 	/** Sends the queued ends. */
 	flush: () => void;
 	forgetOld: (now: number) => void;
@@ -48,7 +48,7 @@
 			sentEnds.remember(job, end, now);
 			pushEnd(job, end);
 		},
-		giveBack(job, tasks, reason, now) {
+		sendReturned(job, tasks, reason, now) {
 			const ends = tasks.map(({index, nextAttempt, placement}): TaskEnd => ({
 				index,
 				outcome: 'returned',
@@ -63,10 +63,10 @@
 				send(job, {token, ends, reason});
 			}
 		},
-		tellStarted(job) {
+		sendStarted(job) {
 			send(job, {token, ends: []});
 		},
-		tellAgain(job, {tasks}) {
+		addSentEnds(job, {tasks}) {
 			for (const [index, , placement] of tasks) {
 				const end = sentEnds.find(job, index, placement);
 				if (end) {
@@ -74,7 +74,7 @@
 				}
 			}
 		},
-		isTold: (job, {index, placement}) =>
+		hasSentEnd: (job, {index, placement}) =>
 			sentEnds.find(job, index, placement) !== undefined,
 		flush() {
 			for (const [job, ends] of queuedEnds) {
--- a/packages/scheduling/src/entry-contacts.ts
+++ b/packages/scheduling/src/entry-contacts.ts
@@ -7,7 +7,7 @@
 
 export type EntryContacts = {
 	/** Records that a message from the entry has arrived. */
-	note: (entry: Entry, now: number) => void;
+	noteMessage: (entry: Entry, now: number) => void;
 	/**
 	Records that the entry has answered a state message of this holder. An entry sends its `replace` and `part` messages before
 	that answer, so the holder now knows all that the entry wants of it.
@@ -26,7 +26,7 @@
 	const lastMessageAt = new Map<string, number>();
 	const answeredHosts = new Set<string>();
 	return {
-		note({key}, now) {
+		noteMessage({key}, now) {
 			lastMessageAt.set(key, now);
 		},
 		markAnswered({key}) {
--- a/packages/scheduling/src/entry-job.ts
+++ b/packages/scheduling/src/entry-job.ts
@@ -62,7 +62,7 @@
 	/** After this time an answer is of no use to the caller. */
 	usefulUntil: number;
 	/** When the caller stops waiting. */
-	endsAt: number;
+	callerDeadlineAt: number;
 	/**
 	A scheduler admitted the job and returned it only because another group has room, or the job had to wait because no
 	scheduler was reachable. The job is then no longer refused for being late.
@@ -85,7 +85,7 @@
 	/** Progress of the check for other copies of the job; undefined: the job can't have another copy that runs. */
 	copyCheck?: CopyCheck;
 	/** When the first report of a started task arrived; undefined: none has. */
-	startToldAt?: number;
+	firstStartReportedAt?: number;
 	waiters: Set<(answer: JobAnswer) => void>;
 };
 
@@ -122,7 +122,7 @@
 		dueAt: now + objectiveMs,
 		admitUntil: now + Math.min(timeLeftMs, admitFactor * objectiveMs),
 		usefulUntil: now + Math.min(timeLeftMs, usefulFactor * objectiveMs),
-		endsAt: now + timeLeftMs,
+		callerDeadlineAt: now + timeLeftMs,
 		isAdmitted: false,
 		claims: new Map(),
 		isStarted: false,
--- a/packages/scheduling/src/entry-jobs.test.ts
+++ b/packages/scheduling/src/entry-jobs.test.ts
@@ -129,7 +129,7 @@
 		ends: [{index: 0, outcome: 'done', attempt: 1, placement: 1}],
 	});
 	const [job] = answered;
-	assert.equal(job!.startToldAt! - job!.arrivedAt, 5);
+	assert.equal(job!.firstStartReportedAt! - job!.arrivedAt, 5);
 });
 
 // After all hosts lost power, callers are back before the schedulers. A job refused in these tenths of a second
@@ -144,7 +144,7 @@
 	entry.update();
 	assert.deepEqual(answers, []);
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
-	entry.placeWaiting();
+	entry.placeWaitingJobs();
 	assert.equal(listParts('mieres_m1')[0]?.tasks.length, 2);
 });
 
@@ -226,7 +226,7 @@
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	entry.submit(makeRequest(), () => undefined);
 	groups.update('mieres_m2', makeState('mieres', {token: 2}), clock.now);
-	entry.handOver('mieres');
+	entry.sendGroupTasks('mieres');
 	const [part] = listParts('mieres_m2');
 	assert.equal(part?.isMoved, true);
 	assert.equal(part?.tasks.length, 2);
@@ -340,10 +340,10 @@
 		);
 	assert.equal(listDrops().length, 1);
 	clock.now += 300;
-	entry.sendAgain('mieres_m1');
+	entry.sendAfterReconnect('mieres_m1');
 	assert.equal(listDrops().length, 2);
 	entry.submit(makeRequest(), () => undefined);
-	entry.sendAgain('mieres_m1');
+	entry.sendAfterReconnect('mieres_m1');
 	assert.deepEqual(
 		new Set(listDrops()),
 		new Set([startsAtMs]),
@@ -373,7 +373,7 @@
 		answers.push(answer);
 	});
 	groups.update('mieres_m2', makeState('mieres', {token: 2}), clock.now);
-	entry.handOver('mieres');
+	entry.sendGroupTasks('mieres');
 	entry.receiveEnds('mieres_m2', {
 		t: 'ends',
 		token: 2,
@@ -414,10 +414,10 @@
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
 	entry.submit(makeRequest({requestsBefore: 0}), () => undefined);
 	groups.update('langreo_l1', makeState('langreo'), clock.now);
-	entry.handOver('langreo');
+	entry.sendGroupTasks('langreo');
 	groups.update('mieres_m2', makeState('mieres', {token: 9}), clock.now);
 	entry.receive('mieres_m1', makeConfirmation());
-	entry.handOver('mieres');
+	entry.sendGroupTasks('mieres');
 	entry.receive('langreo_l1', makeConfirmation());
 	assert.equal(listParts('mieres_m2').length, 0);
 	entry.receive('mieres_m2', makeConfirmation());
@@ -505,7 +505,7 @@
 	entry.submit(makeRequest({requestsBefore: 0}), () => undefined);
 	entry.receive('mieres_m1', makeConfirmation());
 	groups.update('mieres_m2', makeState('mieres', {token: 9}), clock.now);
-	entry.handOver('mieres');
+	entry.sendGroupTasks('mieres');
 	const sentToNewHolder = sent.filter(({holder}) => holder === 'mieres_m2');
 	assert.deepEqual(
 		sentToNewHolder.map(({message}) => message.t),
@@ -652,7 +652,7 @@
 	] as const) {
 		clock.now += 10;
 		groups.update(holder, makeState('mieres', {token}), clock.now);
-		entry.handOver('mieres');
+		entry.sendGroupTasks('mieres');
 	}
 
 	assert.equal(listParts('mieres_m1').length, 2);
@@ -748,7 +748,7 @@
 		crashes,
 	});
 	groups.update('langreo_l1', makeState('langreo'), clock.now);
-	entry.placeWaiting();
+	entry.placeWaitingJobs();
 	entry.update();
 	const parts = [...listParts('mieres_m1'), ...listParts('langreo_l1')];
 	assert.deepEqual(parts.at(-1)!.crashes, crashes);
--- a/packages/scheduling/src/entry-jobs.ts
+++ b/packages/scheduling/src/entry-jobs.ts
@@ -216,7 +216,7 @@
 	/** A holder confirms that it runs no other copy of a job, or refuses because another entry has a later copy. */
 	receiveReplaced(holder: string, message: Replaced): void {
 		const {job: id, takenAtMs, isRefused, crashes = []} = message;
-		this.#ports.crashes.learn(crashes, this.#ports.now());
+		this.#ports.crashes.addReported(crashes, this.#ports.now());
 		const job = this.#jobs.get(id);
 		if (job?.takenAtMs !== takenAtMs) {
 			return;
@@ -241,7 +241,7 @@
 
 	/** An entry's answer to `recall-copy`: it has given up its copy of a job, has none, or has a later one. */
 	receiveRecalled(message: CopyRecalled): void {
-		this.#ports.crashes.learn(message.crashes ?? [], this.#ports.now());
+		this.#ports.crashes.addReported(message.crashes ?? [], this.#ports.now());
 		const job = this.#jobs.get(message.job);
 		const places = this.#recall.receiveRecalled(message, job);
 		if (!job || !places) {
@@ -264,14 +264,14 @@
 			return;
 		}
 
-		this.#ports.crashes.learn(message.crashes ?? [], this.#ports.now());
+		this.#ports.crashes.addReported(message.crashes ?? [], this.#ports.now());
 		if (this.#failIfCondemned(job)) {
 			return;
 		}
 
 		if (message.isStarted) {
 			job.isStarted = true;
-			job.startToldAt ??= this.#ports.now();
+			job.firstStartReportedAt ??= this.#ports.now();
 		}
 
 		const from = this.#findGroupOf(holder);
@@ -292,7 +292,7 @@
 	}
 
 	/** The group has a new holder, or the connection to its holder is back: sends the holder all that this entry has in the group. */
-	handOver(group: string): void {
+	sendGroupTasks(group: string): void {
 		const now = this.#ports.now();
 		for (const job of this.#jobs.values()) {
 			this.#replacement.askAgain(job, group, now);
@@ -311,8 +311,8 @@
 
 	/** To be called when a holder's state has arrived: places waiting jobs and renews this entry's claims in the group. */
 	receiveState(group: string): void {
-		this.placeWaiting();
-		this.answerState(group);
+		this.placeWaitingJobs();
+		this.renewClaims(group);
 	}
 
 	/** The connection to a host's process broke; `lastAliveAt`: when that process was last known to be alive. */
@@ -330,17 +330,17 @@
 	}
 
 	/** The connection to a holder is back: sends again what may have been lost with the last one. */
-	sendAgain(holder: string): void {
+	sendAfterReconnect(holder: string): void {
 		this.#holderContacts.sendDropsAgain(holder, this.#ports.now());
 		for (const {state, holder: current} of this.#ports.groups.list()) {
 			if (current === holder) {
-				this.handOver(state.group);
+				this.sendGroupTasks(state.group);
 			}
 		}
 	}
 
 	/** Places the jobs that wait for a reachable scheduler; to be called when a holder's state has arrived. */
-	placeWaiting(): void {
+	placeWaitingJobs(): void {
 		const waiting = [...this.#waitingJobs];
 		this.#waitingJobs.clear();
 		for (const job of waiting) {
@@ -349,7 +349,7 @@
 	}
 
 	/** Renews this entry's claims in the group, once for each state that its holder sends. */
-	answerState(group: string): void {
+	renewClaims(group: string): void {
 		const known = this.#ports.groups.findGroup(group);
 		if (!known || !this.#holderContacts.hasUnansweredState(known)) {
 			return;
@@ -368,10 +368,10 @@
 			this.#schedulerReachableAt = now;
 		}
 
-		this.placeWaiting();
+		this.placeWaitingJobs();
 		for (const {state} of this.#ports.groups.list()) {
 			if (state.group !== this.#ports.home) {
-				this.answerState(state.group);
+				this.renewClaims(state.group);
 			}
 		}
 
@@ -382,7 +382,7 @@
 				continue;
 			}
 
-			if (now >= job.endsAt) {
+			if (now >= job.callerDeadlineAt) {
 				this.#giveUp(job, 'no answer in the time that the caller waits');
 			} else {
 				this.#moveLostTasks(job, now);
@@ -392,7 +392,7 @@
 
 	/** Fails a job under whose tasks too many executors have crashed; no task of it is started again, whoever submits it. */
 	#failIfCondemned(job: EntryJob): boolean {
-		const task = this.#ports.crashes.findCondemned(job.request.id);
+		const task = this.#ports.crashes.findCondemnedTask(job.request.id);
 		if (task === undefined) {
 			return false;
 		}
@@ -428,7 +428,7 @@
 				groups.list().map(({state: {group, token}}) => [group, token]),
 			findTakenAt: (id) => this.#jobs.get(id)?.takenAtMs,
 			listPlaces: (id) => this.#holderContacts.listPlaces(id, now()),
-			listCrashes: this.#ports.crashes.listOf,
+			listCrashes: this.#ports.crashes.listByJob,
 			log,
 		});
 	}
@@ -485,7 +485,7 @@
 				}
 
 				if (end.runMs !== undefined) {
-					this.#ports.runTimes.learn(job.request.queue.name, end.runMs);
+					this.#ports.runTimes.addRunTime(job.request.queue.name, end.runMs);
 				}
 
 				break;
@@ -734,7 +734,7 @@
 
 		const now = this.#ports.now();
 		const {holder, state} = known;
-		const crashes = this.#ports.crashes.listOf(job.request.id);
+		const crashes = this.#ports.crashes.listByJob(job.request.id);
 		const part = makePart(job, tasks, {isMoved, claim, state, now, crashes});
 		this.#holderContacts.sendPart(holder, part);
 	}
--- a/packages/scheduling/src/executor-control.ts
+++ b/packages/scheduling/src/executor-control.ts
@@ -57,7 +57,7 @@
 };
 
 /** Time-out for the answer, milliseconds, in addition to the call's own `waitMs`. */
-type AnswerLimit = {answerLimitMs: number};
+type AnswerLimit = {answerTimeoutMs: number};
 
 export type StopRequest = RunName & AnswerLimit & {token: number};
 
--- a/packages/scheduling/src/executor-session.ts
+++ b/packages/scheduling/src/executor-session.ts
@@ -3,7 +3,7 @@
 ends of runs. Nothing else in the process reads an executor's ends.
 
 An executor that does not answer is silent: it gets no new starts and its lease is no longer renewed. Once the lease has
-passed, its runs are certain to be over. Each report is entered as a whole (`run-book.ts`) before any callback is
+passed, its runs are certain to be over. Each report is entered as a whole (`run-table.ts`) before any callback is
 called.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
@@ -20,14 +20,14 @@
 import {createExecutorLease} from './executor-lease.js';
 import {createTrust, recordFailure} from './executor-trust.js';
 import {type Executor} from './executor.js';
-import {type Candidate} from './place-task.js';
+import {type ExecutorCandidate} from './place-task.js';
 import {hasRoom, noDemand, noRoom, removeDemand} from './room.js';
-import {createRunBook} from './run-book.js';
-import {createRunOrders, retryMs, type RunOrders} from './run-orders.js';
+import {createRunTable} from './run-table.js';
+import {createRunOrders, orderRetryMs, type RunOrders} from './run-orders.js';
 import {formatTaskKey, type Run, type RunOutcome} from './run.js';
 import {
 	claimLimitMs,
-	dropStopMs,
+	dropStopLimitMs,
 	idleReportIntervalMs,
 	maxRenewWaitMs,
 	minRenewWaitMs,
@@ -73,10 +73,10 @@
 	log: (message: string, fields: Record<string, unknown>) => void;
 };
 
-export class ExecutorSession implements Candidate {
+export class ExecutorSession implements ExecutorCandidate {
 	readonly trust = createTrust();
 	/** The executor has reported to this scheduler all that runs on it. */
-	isReported = false;
+	hasReported = false;
 	/**
 	Since when the executor does not answer, or has unanswered starts still to be cancelled; undefined: neither holds.
 	*/
@@ -84,7 +84,7 @@
 	/** This process of the executor has ended. */
 	isGone = false;
 	#executor: Executor;
-	readonly #book = createRunBook();
+	readonly #runTable = createRunTable();
 	readonly #lease = createExecutorLease();
 	readonly #orders: RunOrders;
 	readonly #crashWatch: CrashWatch;
@@ -110,7 +110,7 @@
 			onSilence: (runs) => {
 				ports.onSilence(this.id, runs);
 			},
-			onCleared: () => {
+			onNotCrashed: () => {
 				ports.onCleared(this.id);
 			},
 			onCrash: (runs) => {
@@ -124,14 +124,14 @@
 	}
 
 	get runs(): ReadonlyMap<string, Run> {
-		return this.#book.runs;
+		return this.#runTable.runs;
 	}
 
 	/**
 	There are runs, or ends of runs, that an earlier holder of the group may have started and no entry has claimed.
 	*/
-	get hasUnclaimed(): boolean {
-		return this.#book.hasUnclaimed;
+	get hasUnclaimedRuns(): boolean {
+		return this.#runTable.hasUnclaimedRuns;
 	}
 
 	get runCount(): number {
@@ -154,18 +154,18 @@
 	get free(): TaskDemand {
 		return this.ports.now() < this.#fullUntil || this.#hasUnknownRuns()
 			? noRoom
-			: removeDemand(this.#executor.capacity, this.#book.used);
+			: removeDemand(this.#executor.capacity, this.#runTable.usedDemand);
 	}
 
 	/** How long ago this host first read the current capacity, milliseconds. */
 	get capacityAgeMs(): number {
-		return this.ports.now() - this.#executor.saidAt;
+		return this.ports.now() - this.#executor.capacityReadAt;
 	}
 
 	/** Whether a start may be sent now. */
 	get isOpen(): boolean {
 		return (
-			this.isReported &&
+			this.hasReported &&
 			!this.isGone &&
 			!this.isDraining &&
 			this.silentSince === undefined
@@ -176,7 +176,7 @@
 	The lease can be extended far enough for a start: no run here is past the end of its claim, or the time by which
 	it has to stop.
 	*/
-	get isExtendable(): boolean {
+	get isLeaseExtendable(): boolean {
 		return (
 			this.ports.getLeaseCap(this.runs.values()) > this.ports.now() + minLeaseMs
 		);
@@ -214,7 +214,7 @@
 	close(): void {
 		// The next holder may never see this executor or its runs, so possible crashes are recorded now.
 		if (this.silentSince !== undefined && !this.isGone) {
-			this.#crashWatch.noteLapsed([...this.runs.values()]);
+			this.#crashWatch.noteLeaseExpired([...this.runs.values()]);
 		}
 
 		this.#closing.abort();
@@ -236,9 +236,9 @@
 			estimateMs,
 			state: 'starting',
 			startedAt: this.ports.now(),
-			isFound: false,
+			isUnclaimed: false,
 		};
-		this.#book.enter(run);
+		this.#runTable.add(run);
 		this.#orders.start(run, spec);
 		this.#idlePause?.end();
 	}
@@ -256,10 +256,10 @@
 	stopAll(): void {
 		this.#isListed = false;
 		if (this.silentSince !== undefined) {
-			this.#crashWatch.noteGone([...this.runs.values()]);
+			this.#crashWatch.noteProcessEnded([...this.runs.values()]);
 		}
 
-		const stopBy = this.ports.now() + dropStopMs;
+		const stopBy = this.ports.now() + dropStopLimitMs;
 		for (const run of this.runs.values()) {
 			this.stop(run, stopBy);
 		}
@@ -271,19 +271,19 @@
 	*/
 	claimRun(task: RunName, demand: TaskDemand): Run | undefined {
 		const run = this.runs.get(formatTaskKey(task));
-		if (!run?.isFound || run.state === 'stopping') {
+		if (!run?.isUnclaimed || run.state === 'stopping') {
 			return undefined;
 		}
 
-		this.#book.resize(run, demand);
+		this.#runTable.changeDemand(run, demand);
 		this.#fullUntil = -Infinity;
-		run.isFound = false;
+		run.isUnclaimed = false;
 		return run;
 	}
 
 	/** Hands out, once, the end of a run of this task that no entry had claimed when the executor reported it. */
-	takeStrayEnd(task: {job: string; index: number}): RunEnd | undefined {
-		return this.#book.takeStrayEnd(task);
+	takeUnclaimedEnd(task: {job: string; index: number}): RunEnd | undefined {
+		return this.#runTable.takeUnclaimedEnd(task);
 	}
 
 	#createOrders(): RunOrders {
@@ -296,9 +296,9 @@
 			getToken,
 			getExecutor: () => this.#executor,
 			extendLease: () => this.#extendLease(),
-			isCurrent: (run) => !this.isGone && this.#book.isCurrent(run),
+			isCurrent: (run) => !this.isGone && this.#runTable.isCurrent(run),
 			signal: this.#closing.signal,
-			onClock: (clockMs) => {
+			onClockReading: (clockMs) => {
 				this.#setClock(clockMs);
 			},
 			onFailure: (failure, call) => {
@@ -308,7 +308,7 @@
 				void this.#fetchReport();
 			},
 			onUnstarted: (run, outcome) => {
-				this.#book.remove(run);
+				this.#runTable.remove(run);
 				this.#reportEnd({run, outcome});
 				this.ports.onChange();
 			},
@@ -343,7 +343,7 @@
 		const {control, now} = this.ports;
 		const sentAt = now();
 		const canRenew = this.runs.size > 0 && this.silentSince === undefined;
-		const canWait = canRenew && this.isReported && this.#missedRenewals === 0;
+		const canWait = canRenew && this.hasReported && this.#missedRenewals === 0;
 		const reply = await control.renewLease(this.#executor, {
 			...this.#makeReportRequest(),
 			leaseUntilMs: canRenew ? this.#extendLease() : undefined,
@@ -383,9 +383,9 @@
 	#makeReportRequest(): LeaseRequest {
 		return {
 			token: this.ports.getToken(),
-			acknowledged: this.#book.acknowledged,
+			acknowledged: this.#runTable.acknowledged,
 			waitMs: 0,
-			answerLimitMs: this.ports.answerTimes.getLimitMs(),
+			answerTimeoutMs: this.ports.answerTimes.getTimeoutMs(),
 		};
 	}
 
@@ -409,12 +409,12 @@
 	#handleMissedRenewal(failure: CallFailure): number {
 		this.#missedRenewals += 1;
 		const isFirst = this.#missedRenewals === 1 && failure.code === 'unanswered';
-		if (isFirst && this.isReported && this.silentSince === undefined) {
+		if (isFirst && this.hasReported && this.silentSince === undefined) {
 			return 0;
 		}
 
 		this.#handleFailure(failure, 'renewal');
-		return retryMs;
+		return orderRetryMs;
 	}
 
 	/** Extends the lease as far as its runs allow; returns its new end on the executor's clock. */
@@ -423,7 +423,7 @@
 		return this.#lease.extend(cap, this.ports.now());
 	}
 
-	/** Enters the whole report in the book before any callback acts on a part of it. */
+	/** Enters the whole report in the run table before any callback acts on a part of it. */
 	#handleReport(report: LeaseReply, sentAt: number): void {
 		if (report.clockMs < this.#reportedClockMs) {
 			return;
@@ -432,21 +432,21 @@
 		const now = this.ports.now();
 		this.#reportedClockMs = report.clockMs;
 		this.#setClock(report.clockMs);
-		const {ended, found} = this.#book.takeReport(report, {
+		const {ended, found} = this.#runTable.applyReport(report, {
 			sentAt,
 			now,
-			foundDemand: this.#estimateDemand(),
+			assumedDemand: this.#estimateDemand(),
 		});
 		if (found.length > 0) {
 			this.#lease.assumeRenewed(now);
 		}
 
-		const isFirst = !this.isReported && !report.hasMoreEnds;
-		if (this.isReported) {
+		const isFirst = !this.hasReported && !report.hasMoreEnds;
+		if (this.hasReported) {
 			this.#stopLateStarts(found, now);
 		}
 
-		this.isReported ||= isFirst;
+		this.hasReported ||= isFirst;
 		if (isFirst || this.silentSince !== undefined) {
 			this.#crashWatch.noteAnswer();
 		}
@@ -494,7 +494,7 @@
 				const reply = await control.stopTask(this.#executor, {
 					...start,
 					token: getToken(),
-					answerLimitMs: answerTimes.getLimitMs(),
+					answerTimeoutMs: answerTimes.getTimeoutMs(),
 				});
 				return reply.isOk() || reply.error.code === 'outdated';
 			}));
@@ -516,8 +516,8 @@
 	*/
 	#hasUnknownRuns(): boolean {
 		return (
-			!this.#executor.isGuarded &&
-			[...this.runs.values()].some(({isFound}) => isFound)
+			!this.#executor.isCapacityEnforced &&
+			[...this.runs.values()].some(({isUnclaimed: isFound}) => isFound)
 		);
 	}
 
@@ -532,7 +532,7 @@
 		if (code === 'no-room') {
 			this.#fullUntil = pausedUntil;
 		} else if (call === 'start' && isExecutorFault) {
-			this.trust.restsUntil = pausedUntil;
+			this.trust.pausedUntil = pausedUntil;
 		}
 
 		this.#handleFailure(failure, call);
@@ -589,7 +589,7 @@
 			reason,
 			runs: this.runs.size,
 		});
-		this.#crashWatch.noteGone(this.#abandonRuns());
+		this.#crashWatch.noteProcessEnded(this.#abandonRuns());
 		this.ports.onChange();
 	}
 
@@ -602,9 +602,9 @@
 			});
 			const lapsed = this.#abandonRuns();
 			if (this.#isListed) {
-				this.#crashWatch.noteLapsed(lapsed);
+				this.#crashWatch.noteLeaseExpired(lapsed);
 			} else {
-				this.#crashWatch.noteGone(lapsed);
+				this.#crashWatch.noteProcessEnded(lapsed);
 			}
 
 			this.ports.onChange();
@@ -614,12 +614,12 @@
 	#stopUnclaimed(): void {
 		const now = this.ports.now();
 		for (const run of this.runs.values()) {
-			if (run.isFound && now - run.startedAt > claimLimitMs) {
+			if (run.isUnclaimed && now - run.startedAt > claimLimitMs) {
 				this.stop(run, now + stopLimitMs);
 			}
 		}
 
-		this.#book.forgetOldEnds(now);
+		this.#runTable.forgetOldEnds(now);
 	}
 
 	#setClock(clockMs: number): void {
@@ -630,8 +630,8 @@
 	#abandonRuns(): Run[] {
 		const lost = [...this.runs.values()];
 		for (const run of lost) {
-			this.#book.remove(run);
-			if (run.acceptedAt === undefined && !run.isFound) {
+			this.#runTable.remove(run);
+			if (run.acceptedAt === undefined && !run.isUnclaimed) {
 				this.ports.unansweredStarts.add(run, this.ports.now());
 			}
 		}
--- a/packages/scheduling/src/executor-set.ts
+++ b/packages/scheduling/src/executor-set.ts
@@ -21,14 +21,14 @@
 	/** Sessions of listed executors that may be sent a start now. */
 	listOpen: () => ExecutorSession[];
 	/** Every executor has reported what runs there or is gone, and there is at least one. */
-	isReported: () => boolean;
+	hasAllReported: () => boolean;
 	/** A run of the task on any of the executors, including one that is being stopped. */
 	findRun: (task: {
 		job: string;
 		index: number;
 	}) => {run: Run; session: ExecutorSession} | undefined;
 	/** Whether a task of the job runs on any of the executors; a run that is being stopped counts. */
-	hasRunOf: (job: string) => boolean;
+	hasRunOfJob: (job: string) => boolean;
 	/** Closes the sessions of unlisted executors without runs; to be called periodically. */
 	closeUnlisted: (now: number) => void;
 	closeAll: () => void;
@@ -90,10 +90,10 @@
 			[...sessions.values()].filter(
 				({id, isOpen}) => isOpen && listedIds.has(id),
 			),
-		isReported: () =>
+		hasAllReported: () =>
 			sessions.size > 0 &&
 			[...sessions.values()].every(
-				({isReported, isGone}) => isReported || isGone,
+				({hasReported, isGone}) => hasReported || isGone,
 			),
 		findRun(task) {
 			const key = formatTaskKey(task);
@@ -106,7 +106,7 @@
 
 			return undefined;
 		},
-		hasRunOf: (id) =>
+		hasRunOfJob: (id) =>
 			[...sessions.values()].some(({runs}) =>
 				[...runs.values()].some(({job}) => job === id),
 			),
--- a/packages/scheduling/src/executor-trust.ts
+++ b/packages/scheduling/src/executor-trust.ts
@@ -29,7 +29,7 @@
 	/** Moving average of actual by expected run time; 1: as fast as expected. */
 	slowness: number;
 	/** The executor gets no start before this time; this host's clock. */
-	restsUntil: number;
+	pausedUntil: number;
 	/** When `slowness` was last updated; this host's clock. */
 	slownessUpdatedAt: number;
 };
@@ -39,7 +39,7 @@
 		failuresInRow: 0,
 		overdueRuns: 0,
 		slowness: 1,
-		restsUntil: 0,
+		pausedUntil: 0,
 		slownessUpdatedAt: 0,
 	};
 }
@@ -77,9 +77,9 @@
 
 export function recordFailure(trust: ExecutorTrust, now: number): void {
 	trust.failuresInRow += 1;
-	trust.restsUntil = computePauseEnd(
+	trust.pausedUntil = computePauseEnd(
 		trust.failuresInRow,
-		trust.restsUntil,
+		trust.pausedUntil,
 		now,
 	);
 }
@@ -87,7 +87,11 @@
 /** To be called once for each run that becomes overdue. */
 export function recordOverdue(trust: ExecutorTrust, now: number): void {
 	trust.overdueRuns += 1;
-	trust.restsUntil = computePauseEnd(trust.overdueRuns, trust.restsUntil, now);
+	trust.pausedUntil = computePauseEnd(
+		trust.overdueRuns,
+		trust.pausedUntil,
+		now,
+	);
 }
 
 /** When the pause ends after `inRow` failures or overdue runs in a row. */
--- a/packages/scheduling/src/executor.ts
+++ b/packages/scheduling/src/executor.ts
@@ -16,16 +16,16 @@
 	Whether the executor refuses a start that exceeds its capacity. If not, it starts every task it is sent, even
 	beyond it.
 	*/
-	isGuarded: boolean;
+	isCapacityEnforced: boolean;
 	capacity: TaskDemand;
 	/** When this host first read this capacity from the executor's newest registration; this host's clock. */
-	saidAt: number;
+	capacityReadAt: number;
 };
 
 /** What an executor has registered about itself, as read from the store. */
-export type ExecutorWord = Omit<
+export type ExecutorRegistration = Omit<
 	Executor,
-	'capacity' | 'isGuarded' | 'saidAt'
+	'capacity' | 'isCapacityEnforced' | 'capacityReadAt'
 > & {
 	/** Undefined: the registered capacity is not usable. */
 	capacity: TaskDemand | undefined;
--- a/packages/scheduling/src/fake-executors.fixture.ts
+++ b/packages/scheduling/src/fake-executors.fixture.ts
@@ -32,14 +32,14 @@
 export type FakeExecutor = {
 	executor: Executor;
 	/** The capacities that the executor has reported, oldest first. */
-	said: Array<{at: number; capacity: TaskDemand}>;
+	capacityHistory: Array<{at: number; capacity: TaskDemand}>;
 	token: number;
 	leaseEndsAt: number;
 	active: FakeRun[];
 	ended: RunEnd[];
 	sequence: number;
 	/** Tokens of schedulers whose calls are lost without an answer; or all of them. */
-	cutFrom: Set<number> | 'all';
+	unreachableFrom: Set<number> | 'all';
 	/** Tasks take this many times as long; `Infinity`: they never end. */
 	slowness: number;
 	/** Tasks fail after 1 ms. */
@@ -57,7 +57,7 @@
 What happens to a call: `lost` before it arrives; `answer-lost`: carried out, but the answer is lost; `late`: carried
 out `ms` later, without an answer.
 */
-export type CallFate =
+export type CallOutcome =
 	| {type: 'answered'}
 	| {type: 'lost'}
 	| {type: 'answer-lost'}
@@ -77,13 +77,13 @@
 		count,
 		cpu = 32_000,
 		taskMs = 100,
-		decideFate = () => ({type: 'answered'}),
-		lookMs = 5,
+		decideOutcome = () => ({type: 'answered'}),
+		pollIntervalMs = 5,
 		stopMs = 0,
 		getDemand = () => noDemand,
-		isGuarded = true,
+		isCapacityEnforced = true,
 		findCrashMs = () => undefined,
-		getBackMs = () => 2000,
+		getRestartMs = () => 2000,
 		onCrash = () => undefined,
 	}: {
 		count: number;
@@ -91,19 +91,19 @@
 		/** Run time of all tasks, or a function that gives each task's. */
 		taskMs?: number | ((task: {job: string; index: number}) => number);
 		/** Decides what happens to calls that no setting of the fake executor makes lost or late. */
-		decideFate?: (call: FakeCall) => CallFate;
+		decideOutcome?: (call: FakeCall) => CallOutcome;
 		/** How often an executor that waits for the end of a run checks for one. */
-		lookMs?: number;
+		pollIntervalMs?: number;
 		/** A stop is answered at once, and the run ends this much later. */
 		stopMs?: number;
 		/** What each task of a job uses; the default is nothing, so that any number of tasks fits. */
 		getDemand?: (job: string) => TaskDemand;
 		/** Whether the executors refuse starts that exceed their capacity. */
-		isGuarded?: boolean;
+		isCapacityEnforced?: boolean;
 		/** How long after its start a task crashes its executor; undefined: it does not. */
 		findCrashMs?: (task: {job: string; index: number}) => number | undefined;
 		/** How long until a crashed executor has restarted, under a new id. */
-		getBackMs?: () => number;
+		getRestartMs?: () => number;
 		/** An executor has crashed; `next` is the executor after its restart, not listed yet. */
 		onCrash?: (former: Executor, next: Executor) => void;
 	},
@@ -116,11 +116,11 @@
 			dataCentre: 'mieres',
 			service: 'meals',
 			isDraining: false,
-			isGuarded,
+			isCapacityEnforced,
 			capacity: {cpu, memoryMb: 100_000, accelerators: 0},
-			saidAt: 0,
+			capacityReadAt: 0,
 		},
-		said: [
+		capacityHistory: [
 			{
 				at: -Infinity,
 				capacity: {cpu, memoryMb: 100_000, accelerators: 0},
@@ -131,7 +131,7 @@
 		active: [],
 		ended: [],
 		sequence: 0,
-		cutFrom: new Set(),
+		unreachableFrom: new Set(),
 		lateStartMs: 0,
 		slowness: 1,
 		isFailing: false,
@@ -184,15 +184,15 @@
 			highest: new Map(),
 		} satisfies Partial<FakeExecutor>);
 		onCrash(former, fake.executor);
-		clock.schedule(getBackMs(), () => {
+		clock.schedule(getRestartMs(), () => {
 			fake.isDown = false;
 		});
 	}
 
 	/** Changes the executor's capacity and reports the new one. */
 	function setCapacity(fake: FakeExecutor, capacity: TaskDemand): Executor {
-		fake.executor = {...fake.executor, capacity, saidAt: clock.now};
-		fake.said.push({at: clock.now, capacity});
+		fake.executor = {...fake.executor, capacity, capacityReadAt: clock.now};
+		fake.capacityHistory.push({at: clock.now, capacity});
 		return fake.executor;
 	}
 
@@ -205,8 +205,8 @@
 		return used;
 	}
 
-	function isCut({cutFrom}: FakeExecutor, token: number): boolean {
-		return cutFrom === 'all' || cutFrom.has(token);
+	function isCut({unreachableFrom}: FakeExecutor, token: number): boolean {
+		return unreachableFrom === 'all' || unreachableFrom.has(token);
 	}
 
 	function endRun(
@@ -257,7 +257,7 @@
 		}
 
 		const free = removeDemand(fake.executor.capacity, sumUsed(fake));
-		if (fake.executor.isGuarded && !hasRoom(free, getDemand(job))) {
+		if (fake.executor.isCapacityEnforced && !hasRoom(free, getDemand(job))) {
 			return refuse('no-room', clock.now);
 		}
 
@@ -299,25 +299,25 @@
 
 	/** The caller's time-out passes: its own limit, and the time that the call would have waited. */
 	async function loseAnswer({
-		answerLimitMs,
+		answerTimeoutMs,
 		waitMs = 0,
 	}: {
-		answerLimitMs: number;
+		answerTimeoutMs: number;
 		waitMs?: number;
 	}): Promise<Result<never, CallFailure>> {
-		await clock.wait(answerLimitMs + waitMs);
+		await clock.wait(answerTimeoutMs + waitMs);
 		return err({code: 'unanswered', message: 'no answer'});
 	}
 
 	/** Carries out a call, or loses it, as decided for it, unless the executor process that was called has ended. */
 	async function carryOut<T>(
 		call: FakeCall & {to: Executor},
-		limits: {answerLimitMs: number; waitMs?: number},
+		limits: {answerTimeoutMs: number; waitMs?: number},
 		work: () => Result<T, CallFailure> | Promise<Result<T, CallFailure>>,
 	): Promise<Result<T, CallFailure>> {
 		const run = async () => refuseFormer(findFake(call.to), call.to) ?? work();
-		const fate = decideFate(call);
-		switch (fate.type) {
+		const outcome = decideOutcome(call);
+		switch (outcome.type) {
 			case 'answered': {
 				return run();
 			}
@@ -332,7 +332,7 @@
 			}
 
 			case 'late': {
-				clock.schedule(fate.ms, () => {
+				clock.schedule(outcome.ms, () => {
 					void run();
 				});
 				return loseAnswer(limits);
@@ -452,7 +452,7 @@
 			fake.ended.length === 0 &&
 			clock.now < endsAt
 		) {
-			await clock.wait(lookMs);
+			await clock.wait(pollIntervalMs);
 		}
 
 		return isCut(fake, token) || fake.life !== life
@@ -541,7 +541,7 @@
 Describes each start that brought an executor above all capacities that were in force at any time within `graceMs`
 before the start. Only executors that do not refuse such starts themselves are checked.
 */
-export function findOverfull(
+export function findOverloads(
 	{runs, fakes}: Pick<FakeExecutors, 'runs' | 'fakes'>,
 	graceMs: number,
 ): string[] {
@@ -551,13 +551,13 @@
 		const fake = fakes.find(
 			(one) => one.executor.id.split('.', 1)[0] === name,
 		)!;
-		const firstIndex = fake.said.findLastIndex(
+		const firstIndex = fake.capacityHistory.findLastIndex(
 			({at}) => at <= startedAt - graceMs,
 		);
-		const hasFit = fake.said
+		const hasFit = fake.capacityHistory
 			.slice(firstIndex)
 			.some(({at, capacity}) => at <= startedAt && hasRoom(capacity, used));
-		return fake.executor.isGuarded || hasFit
+		return fake.executor.isCapacityEnforced || hasFit
 			? []
 			: [`${job}/${index} on ${executor} at ${startedAt}: ${used.cpu} in use`];
 	});
--- a/packages/scheduling/src/group-crashes.ts
+++ b/packages/scheduling/src/group-crashes.ts
@@ -37,7 +37,7 @@
 		entry: Entry,
 		{id, claim, isStarted}: Pick<GroupJob, 'id' | 'claim' | 'isStarted'>,
 	): void {
-		const known = crashes.listOf(id);
+		const known = crashes.listByJob(id);
 		if (known) {
 			entry.send({
 				t: 'ends',
@@ -99,7 +99,7 @@
 			sendCrashesToEntries(runs);
 		},
 		recordPartCrashes(entry, {job, claim, crashes: reported = []}) {
-			crashes.learn(
+			crashes.addReported(
 				reported.map((row) => ({
 					...row,
 					crashed: row.crashed.filter((id) => hasNoOpenSession(id)),
@@ -115,7 +115,7 @@
 			}
 
 			return [...jobs].filter((job) => {
-				const task = crashes.findCondemned(job.id);
+				const task = crashes.findCondemnedTask(job.id);
 				if (task === undefined || job.isDropped) {
 					return false;
 				}
@@ -125,8 +125,9 @@
 					task,
 					queue: job.queue,
 					entry: job.entry.key,
-					executors: crashes.listOf(job.id)?.find(({index}) => index === task)
-						?.crashed,
+					executors: crashes
+						.listByJob(job.id)
+						?.find(({index}) => index === task)?.crashed,
 				});
 				sendCrashes(job.entry, job);
 				return true;
--- a/packages/scheduling/src/group-directory.test.ts
+++ b/packages/scheduling/src/group-directory.test.ts
@@ -6,7 +6,7 @@
 import {createGroupDirectory} from './group-directory.js';
 import {makeState} from './group-state.fixture.js';
 import {placeJob} from './place-job.js';
-import {stateEveryMs, stateStaleMs} from './timing.js';
+import {stateIntervalMs, stateStaleMs} from './timing.js';
 
 function choosePlace(
 	groups: ReturnType<typeof createGroupDirectory>,
@@ -30,7 +30,7 @@
 	const groups = createGroupDirectory();
 	groups.update('mieres_m1', makeState('mieres'), 0);
 	groups.update('langreo_l1', makeState('langreo'), 0);
-	assert.deepEqual(choosePlace(groups, stateEveryMs), ['mieres']);
+	assert.deepEqual(choosePlace(groups, stateIntervalMs), ['mieres']);
 	groups.update('langreo_l1', makeState('langreo'), 400);
 	assert.deepEqual(choosePlace(groups, 400), ['langreo']);
 });
--- a/packages/scheduling/src/group-directory.ts
+++ b/packages/scheduling/src/group-directory.ts
@@ -5,14 +5,14 @@
 import {type GroupState} from '@gentianshift/protocol';
 import {type GroupRoom} from './place-job.js';
 import {countFits, takeFits} from './room.js';
-import {stateDoubtMs, stateStaleMs} from './timing.js';
+import {stateLateMs, stateStaleMs} from './timing.js';
 
 export type KnownGroup = {
 	state: GroupState;
 	/** Key of the host that holds the group. */
 	holder: string;
 	/** When the holder's last state arrived; set to an earlier time if its connection has broken since. */
-	heardAt: number;
+	lastHeardAt: number;
 	/** When this host received the state, which is later than the holder sent it. */
 	receivedAt: number;
 	/** Free thousandths of a core of each executor, less the tasks sent there since the state arrived. */
@@ -43,7 +43,10 @@
 	markDoubtful: (holder: string, now: number) => void;
 };
 
-export function isSilent({heardAt}: KnownGroup, now: number): boolean {
+export function isSilent(
+	{lastHeardAt: heardAt}: KnownGroup,
+	now: number,
+): boolean {
 	return now - heardAt > stateStaleMs;
 }
 
@@ -79,7 +82,7 @@
 			groups.set(state.group, {
 				state,
 				holder,
-				heardAt: now,
+				lastHeardAt: now,
 				receivedAt: now,
 				free: [...state.free],
 			});
@@ -113,24 +116,29 @@
 						!known.state.isReleased &&
 						known.state.capacity > 0,
 				)
-				.map(({state, free, heardAt}) => ({
+				.map(({state, free, lastHeardAt: heardAt}) => ({
 					group: state.group,
-					free: now - heardAt > stateDoubtMs ? [] : free,
+					free: now - heardAt > stateLateMs ? [] : free,
 					capacity: state.capacity,
 					backlog: state.backlog,
 					lateBacklog: state.lateBacklog,
 					running: state.running,
 				})),
 		describe: (now) =>
-			[...groups.values()].map(({state, holder, heardAt, free}) => {
-				const ageMs = Math.round(now - heardAt);
-				const released = state.isReleased ? ' released' : '';
-				return `${state.group}: ${holder} token ${state.token}${released}, last state ${ageMs} ms ago, ${free.length} executors open, capacity ${state.capacity}`;
-			}),
+			[...groups.values()].map(
+				({state, holder, lastHeardAt: heardAt, free}) => {
+					const ageMs = Math.round(now - heardAt);
+					const released = state.isReleased ? ' released' : '';
+					return `${state.group}: ${holder} token ${state.token}${released}, last state ${ageMs} ms ago, ${free.length} executors open, capacity ${state.capacity}`;
+				},
+			),
 		markDoubtful(holder, now) {
 			for (const known of groups.values()) {
 				if (known.holder === holder) {
-					known.heardAt = Math.min(known.heardAt, now - stateStaleMs / 2);
+					known.lastHeardAt = Math.min(
+						known.lastHeardAt,
+						now - stateStaleMs / 2,
+					);
 				}
 			}
 		},
--- a/packages/scheduling/src/group-scheduler.fixture.ts
+++ b/packages/scheduling/src/group-scheduler.fixture.ts
@@ -18,16 +18,16 @@
 */
 export function createEntry(
 	key = 'mieres_m1.0',
-): Entry & {told: Ends[]; replaced: Replaced[]} {
-	const told: Ends[] = [];
+): Entry & {endMessages: Ends[]; replacedMessages: Replaced[]} {
+	const endMessages: Ends[] = [];
 	const replaced: Replaced[] = [];
 	return {
 		key,
-		told,
-		replaced,
+		endMessages,
+		replacedMessages: replaced,
 		send(message) {
 			if (message.t === 'ends') {
-				told.push(message);
+				endMessages.push(message);
 			} else if (message.t === 'replaced') {
 				replaced.push(message);
 			}
@@ -69,7 +69,7 @@
 		onChange() {
 			// These tests need no notification.
 		},
-		takeElsewhere(_cpu, tasks) {
+		takeRoomElsewhere(_cpu, tasks) {
 			const taken = Math.min(tasks, roomLeftElsewhere);
 			roomLeftElsewhere -= taken;
 			return taken;
@@ -161,6 +161,10 @@
 	}
 }
 
-export function listOutcomes({told}: {told: Ends[]}): string[] {
+export function listOutcomes({
+	endMessages: told,
+}: {
+	endMessages: Ends[];
+}): string[] {
 	return told.flatMap(({ends}) => ends.map(({outcome}) => outcome));
 }
--- a/packages/scheduling/src/group-scheduler.test.ts
+++ b/packages/scheduling/src/group-scheduler.test.ts
@@ -105,7 +105,7 @@
 		await clock.run(50);
 	}
 
-	executors.fakes[0]!.cutFrom = 'all';
+	executors.fakes[0]!.unreachableFrom = 'all';
 	await clock.run(2000);
 	const [run] = executors.runs;
 	assert.ok(
@@ -147,8 +147,9 @@
 	await runFor(clock, 200, [[first, entry]]);
 	const [run] = executors.runs;
 	const reached = executors.executors.filter(({id}) => id !== run?.executor);
-	executors.fakes.find(({executor}) => executor.id === run?.executor)!.cutFrom =
-		new Set([2]);
+	executors.fakes.find(
+		({executor}) => executor.id === run?.executor,
+	)!.unreachableFrom = new Set([2]);
 	const second = createScheduler(clock, executors, 2);
 	assert.equal(reached.length, 1);
 	await runFor(clock, 1000, [[first, entry]]);
@@ -207,14 +208,14 @@
 	const results = new Map<string, {outcomes: string[]; tookMs: number}>();
 	let read = 0;
 	const readEnds = () => {
-		for (const {job, ends} of entry.told.slice(read)) {
+		for (const {job, ends} of entry.endMessages.slice(read)) {
 			const known = results.get(job) ?? {outcomes: [], tookMs: 0};
 			known.outcomes.push(...ends.map(({outcome}) => outcome));
 			known.tookMs = clock.now - startedAt.get(job)!;
 			results.set(job, known);
 		}
 
-		read = entry.told.length;
+		read = entry.endMessages.length;
 	};
 
 	for (let i = 0; i < jobs; i += 1) {
@@ -336,7 +337,7 @@
 	});
 	scheduler.receivePart(entry, small);
 	await runFor(clock, 400, [[scheduler, entry]]);
-	const ends = entry.told
+	const ends = entry.endMessages
 		.filter(({job}) => job === 'small')
 		.flatMap((message) => message.ends);
 	assert.deepEqual(
@@ -498,6 +499,6 @@
 	await runFor(clock, 1000, [[scheduler, entry, [2]]]);
 	const started = executors.runs.filter(({job}) => job === 'job1');
 	assert.equal(started.length, 1);
-	const returned = entry.told.findLast(({job}) => job === 'job1');
+	const returned = entry.endMessages.findLast(({job}) => job === 'job1');
 	assert.equal(returned?.ends[0]?.outcome, 'returned');
 });
--- a/packages/scheduling/src/group-scheduler.ts
+++ b/packages/scheduling/src/group-scheduler.ts
@@ -51,11 +51,11 @@
 import {createStartLog, type StartLog} from './start-log.js';
 import {
 	clockSlackMs,
-	dropStopMs,
-	entryWordLimitMs,
+	dropStopLimitMs,
+	entryAnswerLimitMs,
 	orphanLimitMs,
-	orphanStopMs,
-	stateEveryMs,
+	orphanStopLimitMs,
+	stateIntervalMs,
 } from './timing.js';
 
 /**
@@ -66,7 +66,7 @@
 /** Updates run each 50 ms; one that is this late means that this host was paused. */
 const pauseDetectionMs = 150;
 /** Time after a pause within which entries that still wait have answered a new state message of this host. */
-const pauseGraceMs = 2 * stateEveryMs;
+const pauseGraceMs = 2 * stateIntervalMs;
 
 export type GroupPorts = {
 	/** The data centre whose executors these are. */
@@ -88,7 +88,7 @@
 	Takes room for tasks of `cpu` thousandths of a core from what this host knows to be free in other groups;
 	returns for how many of `tasks`.
 	*/
-	takeElsewhere: (cpu: number, tasks: number) => number;
+	takeRoomElsewhere: (cpu: number, tasks: number) => number;
 	/**
 	Whether the list of the group's executors is complete: none is missing because its registration had expired
 	for a while.
@@ -135,9 +135,9 @@
 		this.#copies = createJobCopies({
 			now: ports.now,
 			dropOthers: (entry, message) => this.#dropOtherCopies(entry, message),
-			listCrashes: ports.crashes.listOf,
+			listCrashes: ports.crashes.listByJob,
 			mayRun: (job, isMoved) =>
-				this.#executors.hasRunOf(job) ||
+				this.#executors.hasRunOfJob(job) ||
 				!this.#hasHeardFromEntries() ||
 				(isMoved && !this.#hasReportsSince(this.#openedAt)),
 		});
@@ -161,7 +161,7 @@
 	/** Whether every executor has answered, or has had enough time to. */
 	get isReady(): boolean {
 		const age = this.ports.now() - this.#openedAt;
-		return this.#executors.isReported() || age > orphanLimitMs;
+		return this.#executors.hasAllReported() || age > orphanLimitMs;
 	}
 
 	/** Sets the group's executors as the store lists them now. */
@@ -175,7 +175,7 @@
 	its entry hands the job over again when it learns of this holder.
 	*/
 	receive(entry: Entry, message: HolderMessage): void {
-		this.#entries.note(entry, this.ports.now());
+		this.#entries.noteMessage(entry, this.ports.now());
 		switch (message.t) {
 			case 'part': {
 				if (message.token === this.ports.token) {
@@ -208,7 +208,7 @@
 	receivePart(entry: Entry, part: Part): void {
 		const now = this.ports.now();
 		this.#crashes.recordPartCrashes(entry, part);
-		if (this.ports.crashes.findCondemned(part.job) !== undefined) {
+		if (this.ports.crashes.findCondemnedTask(part.job) !== undefined) {
 			return;
 		}
 
@@ -239,7 +239,7 @@
 		}
 
 		this.#jobs.set(job.id, job);
-		this.#outbox.tellAgain(job, part);
+		this.#outbox.addSentEnds(job, part);
 		const added = addTasks(job, part);
 		for (const task of added) {
 			this.#claimTask(job, task);
@@ -278,7 +278,7 @@
 	*/
 	dropJob(entry: Entry, {job: id, takenAtMs, claim}: Omit<Drop, 't'>): void {
 		if (claim === undefined) {
-			this.#copies.release(id, entry, takenAtMs);
+			this.#copies.endCopy(id, entry, takenAtMs);
 		}
 
 		const job = this.#jobs.get(id);
@@ -287,7 +287,7 @@
 			job.takenAtMs <= takenAtMs &&
 			job.claim <= (claim ?? Infinity);
 		if (isMeant) {
-			this.#dropAndStop(job, this.ports.now() + dropStopMs);
+			this.#dropAndStop(job, this.ports.now() + dropStopLimitMs);
 			this.#runPlacingRound();
 		}
 	}
@@ -401,7 +401,7 @@
 		const tasks = [...createPartTasks(part)].filter(
 			({index}) => !this.#executors.findRun({job: job.id, index}),
 		);
-		this.#outbox.giveBack(job, tasks, 'elsewhere', this.ports.now());
+		this.#outbox.sendReturned(job, tasks, 'elsewhere', this.ports.now());
 	}
 
 	/**
@@ -435,7 +435,7 @@
 					formerClaim: job.claim,
 				},
 			);
-			this.#dropAndStop(job, this.ports.now() + orphanStopMs);
+			this.#dropAndStop(job, this.ports.now() + orphanStopLimitMs);
 		}
 	}
 
@@ -460,7 +460,7 @@
 			token: this.ports.token,
 		});
 		this.#sendReplaced(job.entry, id, job.takenAtMs);
-		this.#dropAndStop(job, this.ports.now() + dropStopMs);
+		this.#dropAndStop(job, this.ports.now() + dropStopLimitMs);
 		return job.movedAt !== undefined;
 	}
 
@@ -489,7 +489,7 @@
 	again.
 	*/
 	#claimTask(job: GroupJob, task: GroupTask): void {
-		if (this.#outbox.isTold(job, task)) {
+		if (this.#outbox.hasSentEnd(job, task)) {
 			task.state = 'over';
 			this.#removeIfOver(job);
 			return;
@@ -551,7 +551,7 @@
 	#hasHeardFromEntries(): boolean {
 		const {now, listPeers} = this.ports;
 		return (
-			now() - this.#openedAt > entryWordLimitMs ||
+			now() - this.#openedAt > entryAnswerLimitMs ||
 			listPeers().every((host) => this.#entries.hasAnswered(host))
 		);
 	}
@@ -562,7 +562,7 @@
 			this.ports.now() - at > orphanLimitMs + clockSlackMs ||
 			(this.ports.isListComplete() &&
 				this.ports.isListFresh() &&
-				this.#executors.isReported())
+				this.#executors.hasAllReported())
 		);
 	}
 
@@ -587,7 +587,7 @@
 		const open = this.#placeSuspects(waiting, now);
 		placeWaiting(
 			waiting,
-			createPlacingRound(open, now, this.ports.takeElsewhere),
+			createPlacingRound(open, now, this.ports.takeRoomElsewhere),
 			{
 				listStartable: (job) => this.#listStartable(job),
 				isSound: ({id}, {index}) =>
@@ -625,7 +625,7 @@
 
 	#giveUpCondemned(now: number): void {
 		for (const job of this.#crashes.takeCondemnedJobs(this.#jobs.values())) {
-			this.#dropAndStop(job, now + dropStopMs);
+			this.#dropAndStop(job, now + dropStopLimitMs);
 		}
 	}
 
@@ -666,7 +666,7 @@
 		this.#startLog.add(job, task, {attempt, capacityAgeMs});
 		if (!job.isStarted) {
 			job.isStarted = true;
-			this.#outbox.tellStarted(job);
+			this.#outbox.sendStarted(job);
 		}
 
 		session.start({job: job.id, index: task.index, attempt}, job);
@@ -678,7 +678,7 @@
 		reason: NonNullable<Ends['reason']>,
 		tasks = this.#listStartable(job),
 	): void {
-		this.#outbox.giveBack(job, tasks, reason, this.ports.now());
+		this.#outbox.sendReturned(job, tasks, reason, this.ports.now());
 		for (const task of tasks) {
 			task.state = 'over';
 		}
@@ -720,7 +720,7 @@
 		recordSuccess(session.trust, {runMs, expectedMs, now: this.ports.now()});
 		job.endedRunTimes.sumMs += runMs;
 		job.endedRunTimes.count += 1;
-		this.ports.runTimes.learn(job.queue, runMs);
+		this.ports.runTimes.addRunTime(job.queue, runMs);
 	}
 
 	#requeue(
@@ -805,7 +805,7 @@
 	*/
 	#dropEndedClaims(now: number): void {
 		for (const key of this.#entries.takeSilent(now)) {
-			this.#copies.releaseAll(key);
+			this.#copies.endCopiesOf(key);
 		}
 
 		const bootTime = this.ports.readBootTime();
@@ -821,7 +821,7 @@
 				});
 				this.#giveBack(job, 'elsewhere');
 				job.isOrphaned = true;
-				this.#dropAndStop(job, now + orphanStopMs);
+				this.#dropAndStop(job, now + orphanStopLimitMs);
 			}
 		}
 	}
--- a/packages/scheduling/src/index.ts
+++ b/packages/scheduling/src/index.ts
@@ -1,4 +1,7 @@
-export {type Executor, type ExecutorWord} from './executor.js';
+export {
+	type Executor,
+	type ExecutorRegistration as ExecutorWord,
+} from './executor.js';
 export {type EntryPeers} from './copy-recall.js';
 export * from './crash-records.js';
 export * from './process-id.js';
--- a/packages/scheduling/src/job-copies.test.ts
+++ b/packages/scheduling/src/job-copies.test.ts
@@ -44,16 +44,16 @@
 	scheduler.receivePart(entry, part);
 	await runFor(clock, 50, [[scheduler, entry]]);
 	const later = createEntry('langreo_l1.0');
-	executors.fakes[0]!.cutFrom = 'all';
+	executors.fakes[0]!.unreachableFrom = 'all';
 	scheduler.receive(later, makeReplace());
 	await runFor(clock, 200, [[scheduler, entry]]);
 	assert.equal(executors.runs[0]!.endedAt, undefined);
-	assert.equal(later.replaced.length, 0);
-	executors.fakes[0]!.cutFrom = new Set();
+	assert.equal(later.replacedMessages.length, 0);
+	executors.fakes[0]!.unreachableFrom = new Set();
 	await runFor(clock, 400, [[scheduler, entry]]);
 	assert.equal(executors.runs[0]!.outcome, 'ended');
-	assert.equal(later.replaced[0]?.isRefused, false);
-	assert.equal(entry.replaced.at(-1)?.isRefused, true);
+	assert.equal(later.replacedMessages[0]?.isRefused, false);
+	assert.equal(entry.replacedMessages.at(-1)?.isRefused, true);
 });
 
 // The first entry reads the request late, from a connection that has broken since, and sends its tasks when the second copy runs.
@@ -72,7 +72,7 @@
 	assert.deepEqual(findOverlaps(executors.runs), []);
 	assert.equal(executors.runs.length, 1);
 	assert.equal(executors.runs[0]!.outcome, 'done');
-	assert.equal(entry.replaced.at(-1)?.isRefused, true);
+	assert.equal(entry.replacedMessages.at(-1)?.isRefused, true);
 });
 
 // A caller was answered 504 and submits the job again 1,300 ms later on the same connection. The job must not be refused because
@@ -122,11 +122,11 @@
 	there.replace(second, ofSecond);
 	there.replace(first, ofFirst);
 	assert.deepEqual(
-		second.replaced.map(({isRefused}) => isRefused),
+		second.replacedMessages.map(({isRefused}) => isRefused),
 		[false, false],
 	);
 	assert.deepEqual(
-		first.replaced.map(({isRefused}) => isRefused),
+		first.replacedMessages.map(({isRefused}) => isRefused),
 		[false, true],
 	);
 	assert.ok(here.isReplaced('job1', first));
@@ -142,10 +142,10 @@
 	scheduler.receivePart(entry, makePart(clock, {estimateMs: 500}));
 	await runFor(clock, 50, [[scheduler, entry]]);
 	scheduler.receive(entry, makeReplace({takenAtMs: clock.now}));
-	assert.equal(entry.replaced.at(-1)?.isRefused, true);
+	assert.equal(entry.replacedMessages.at(-1)?.isRefused, true);
 	await runFor(clock, 100, [[scheduler, entry]]);
 	assert.equal(executors.runs[0]!.outcome, 'ended');
-	assert.equal(entry.replaced.at(-1)?.isRefused, false);
+	assert.equal(entry.replacedMessages.at(-1)?.isRefused, false);
 });
 
 // The `drop` of an earlier submission arrives after the job was accepted again. Its caller waits, so the job must not be lost.
--- a/packages/scheduling/src/job-copies.ts
+++ b/packages/scheduling/src/job-copies.ts
@@ -14,7 +14,7 @@
 } from '@gentianshift/protocol';
 import {isLaterCopy, type CopyStamp} from './copy-order.js';
 import {type Entry} from './group-job.js';
-import {dropStopMs, orphanStopMs} from './timing.js';
+import {dropStopLimitMs, orphanStopLimitMs} from './timing.js';
 
 export type CopyPorts = {
 	now: () => number;
@@ -38,9 +38,9 @@
 	/** Whether another entry's copy replaces this entry's copy of the job. */
 	isReplaced: (job: string, entry: Entry) => boolean;
 	/** The entry's copy has ended, if the entry accepted it no later than `takenAtMs`. */
-	release: (job: string, entry: Entry, takenAtMs: number) => void;
-	/** The entry is silent: its copies stop blocking others after `orphanStopMs`. */
-	releaseAll: (entryKey: string) => void;
+	endCopy: (job: string, entry: Entry, takenAtMs: number) => void;
+	/** The entry is silent: its copies stop blocking others after `orphanStopLimitMs`. */
+	endCopiesOf: (entryKey: string) => void;
 	/** Answers entries that wait for other copies of their jobs to stop; to be called when runs have ended. */
 	answerSettled: () => void;
 	forgetOld: () => void;
@@ -131,16 +131,16 @@
 			const copy = findActive(job);
 			return copy !== undefined && copy.entry.key !== entry.key;
 		},
-		release(job, entry, takenAtMs) {
+		endCopy(job, entry, takenAtMs) {
 			const copy = copies.get(job);
 			if (copy?.entry.key === entry.key && copy.takenAtMs <= takenAtMs) {
-				endWithin(copy, dropStopMs);
+				endWithin(copy, dropStopLimitMs);
 			}
 		},
-		releaseAll(entryKey) {
+		endCopiesOf(entryKey) {
 			for (const copy of copies.values()) {
 				if (copy.entry.key === entryKey) {
-					endWithin(copy, orphanStopMs);
+					endWithin(copy, orphanStopLimitMs);
 				}
 			}
 		},
--- a/packages/scheduling/src/lease-cap.ts
+++ b/packages/scheduling/src/lease-cap.ts
@@ -26,7 +26,7 @@
 }
 
 function computeRunCap(
-	{job, isFound, startedAt, stopBy}: Run,
+	{job, isUnclaimed: isFound, startedAt, stopBy}: Run,
 	getClaimLimit: (job: string) => number,
 ): number {
 	if (stopBy !== undefined) {
--- a/packages/scheduling/src/load-system.fixture.ts
+++ b/packages/scheduling/src/load-system.fixture.ts
@@ -14,7 +14,7 @@
 import {type HolderMessage} from './holder-contacts.js';
 import {type Queue} from './queue-table.js';
 import {createRunTimes, type RunTimes} from './run-times.js';
-import {stateEveryMs} from './timing.js';
+import {stateIntervalMs} from './timing.js';
 import {VirtualClock} from './virtual-clock.fixture.js';
 
 const dataCentres = ['mieres', 'langreo', 'tineo'] as const;
@@ -221,7 +221,7 @@
 		crashes,
 		onFenced: doNothing,
 		onChange: doNothing,
-		takeElsewhere: (cpu, tasks) =>
+		takeRoomElsewhere: (cpu, tasks) =>
 			directory.takeElsewhere({home: name, cpu, tasks}, clock.now),
 		isListComplete: () => true,
 		isListFresh: () => true,
@@ -314,7 +314,7 @@
 	const tick = (): void => {
 		for (const group of groups) {
 			group.scheduler.update();
-			entries.get(group.name)!.answerState(group.name);
+			entries.get(group.name)!.renewClaims(group.name);
 			publishState(clock, group, [group], 0);
 			entries.get(group.name)!.update();
 		}
@@ -328,7 +328,7 @@
 			publishState(clock, group, others, linkDelayMs);
 		}
 
-		clock.schedule(stateEveryMs, publishToOthers);
+		clock.schedule(stateIntervalMs, publishToOthers);
 	};
 
 	clock.schedule(0, tick);
--- a/packages/scheduling/src/lost-answers.test.ts
+++ b/packages/scheduling/src/lost-answers.test.ts
@@ -4,7 +4,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {createDraw} from '@gentianshift/standins';
-import {findOverlaps, type CallFate} from './fake-executors.fixture.js';
+import {findOverlaps, type CallOutcome} from './fake-executors.fixture.js';
 import {type Entry} from './group-job.js';
 import {
 	makePart,
@@ -26,7 +26,7 @@
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 8,
 		taskMs: runMs,
-		decideFate: (): CallFate => ({
+		decideOutcome: (): CallOutcome => ({
 			type: isLossy && draw.drawUniform() < 0.05 ? 'lost' : 'answered',
 		}),
 	});
--- a/packages/scheduling/src/make-part.ts
+++ b/packages/scheduling/src/make-part.ts
@@ -41,7 +41,7 @@
 		estimateMs: job.estimateMs,
 		dueInMs: job.dueAt - now,
 		admitInMs: getLatestEnd(job) - now,
-		timeLeftMs: (job.isStarted ? job.endsAt : job.usefulUntil) - now,
+		timeLeftMs: (job.isStarted ? job.callerDeadlineAt : job.usefulUntil) - now,
 		remaining: job.tasks.filter(({isDone}) => !isDone).length,
 		tasks: tasks.map(({index, nextAttempt, placement}) => [
 			index,
--- a/packages/scheduling/src/measure-load.ts
+++ b/packages/scheduling/src/measure-load.ts
@@ -3,7 +3,7 @@
 */
 import {type GroupState} from '@gentianshift/protocol';
 import {type GroupJob} from './group-job.js';
-import {estimateWaitMs, longestFactor} from './place-job.js';
+import {estimateWaitMs, longestTaskFactor} from './place-job.js';
 import {compareJobs, isLate} from './rank-jobs.js';
 
 /** Number of priorities that the load distinguishes; lower priorities count as the last of them. */
@@ -52,5 +52,5 @@
 	const load = {...measureLoad(ahead, now), running, capacity};
 	// `ahead` was selected by rank and may include late jobs; `isLate: true` makes the estimate count them all.
 	const waitMs = estimateWaitMs(load, {...job, isLate: true}, 0);
-	return waitMs + longestFactor * job.estimateMs > limitMs;
+	return waitMs + longestTaskFactor * job.estimateMs > limitMs;
 }
--- a/packages/scheduling/src/overdue-runs.ts
+++ b/packages/scheduling/src/overdue-runs.ts
@@ -12,7 +12,7 @@
 import {listOverdue, maxMoves} from './judge-run.js';
 import {hasRoom} from './room.js';
 import {formatTaskKey} from './run.js';
-import {dropStopMs, stopLimitMs} from './timing.js';
+import {dropStopLimitMs, stopLimitMs} from './timing.js';
 
 type Sessions = ReadonlyMap<string, ExecutorSession>;
 
@@ -67,7 +67,7 @@
 
 	if (isMoved) {
 		task.moves += 1;
-		session.stop(run, now + dropStopMs);
+		session.stop(run, now + dropStopLimitMs);
 	}
 }
 
--- a/packages/scheduling/src/place-job.ts
+++ b/packages/scheduling/src/place-job.ts
@@ -45,7 +45,7 @@
 	| {type: 'refused'; retryAfterMs: number; waitMs: number};
 
 /** Run time of a job's longest task relative to their estimate, for eight tasks that differ by 15%. */
-export const longestFactor = 1.2;
+export const longestTaskFactor = 1.2;
 /** Least share of a group's capacity that a priority is taken to have, however much more urgent work uses. */
 const minCapacityShare = 0.15;
 
@@ -120,7 +120,7 @@
 		.toSorted((a, b) => a.waitMs - b.waitMs);
 	const shortest = waits[0];
 	const endMs =
-		(shortest?.waitMs ?? Infinity) + longestFactor * request.estimateMs;
+		(shortest?.waitMs ?? Infinity) + longestTaskFactor * request.estimateMs;
 	if (!shortest || endMs > request.limitMs) {
 		const waitMs = shortest?.waitMs ?? Infinity;
 		return {type: 'refused', waitMs, retryAfterMs: waitMs};
--- a/packages/scheduling/src/place-suspects.test.ts
+++ b/packages/scheduling/src/place-suspects.test.ts
@@ -4,10 +4,10 @@
 import {createEntry, makePart} from './group-scheduler.fixture.js';
 import {addTasks, createGroupJob, listWaiting} from './group-job.js';
 import {placeSuspects} from './place-suspects.js';
-import {type Candidate} from './place-task.js';
+import {type ExecutorCandidate} from './place-task.js';
 import {VirtualClock} from './virtual-clock.fixture.js';
 
-function makeExecutor(id: string, runCount: number): Candidate {
+function makeExecutor(id: string, runCount: number): ExecutorCandidate {
 	return {
 		id,
 		service: 'meals',
@@ -20,7 +20,7 @@
 
 /** Places a job of three tasks, of which the first `suspects` are suspects. */
 function place(
-	executors: Candidate[],
+	executors: ExecutorCandidate[],
 	{
 		suspects = 1,
 		holding = [],
--- a/packages/scheduling/src/place-suspects.ts
+++ b/packages/scheduling/src/place-suspects.ts
@@ -8,7 +8,7 @@
 */
 import {type CrashVerdict} from './crash-records.js';
 import {type GroupJob, type GroupTask} from './group-job.js';
-import {chooseExecutor, type Candidate} from './place-task.js';
+import {chooseExecutor, type ExecutorCandidate} from './place-task.js';
 import {compareJobs} from './rank-jobs.js';
 import {hasRoom} from './room.js';
 
@@ -17,7 +17,7 @@
 /** A task whose remaining time is at most this many run times no longer waits for an idle executor. */
 const urgentRunTimes = 1.5;
 
-export type SuspectActions<C extends Candidate> = {
+export type SuspectActions<C extends ExecutorCandidate> = {
 	now: number;
 	judge: (task: {job: string; index: number}) => CrashVerdict;
 	/** Whether one of the executor's runs is of a suspect. */
@@ -30,7 +30,7 @@
 type Suspect = {job: GroupJob; task: GroupTask};
 
 /** Starts suspects; returns the executors that remain for other tasks. */
-export function placeSuspects<C extends Candidate>(
+export function placeSuspects<C extends ExecutorCandidate>(
 	jobs: readonly GroupJob[],
 	executors: readonly C[],
 	actions: SuspectActions<C>,
@@ -62,7 +62,7 @@
 	return [...available];
 }
 
-function listSuspects<C extends Candidate>(
+function listSuspects<C extends ExecutorCandidate>(
 	jobs: readonly GroupJob[],
 	{now, judge, listStartable}: SuspectActions<C>,
 ): Suspect[] {
@@ -75,7 +75,7 @@
 		);
 }
 
-function findExecutor<C extends Candidate>(
+function findExecutor<C extends ExecutorCandidate>(
 	{job, task: {avoid}}: Suspect,
 	executors: ReadonlySet<C>,
 	now: number,
@@ -98,7 +98,7 @@
 	}
 }
 
-function findLeastBusy<C extends Candidate>(
+function findLeastBusy<C extends ExecutorCandidate>(
 	{service, demand}: GroupJob,
 	executors: ReadonlySet<C>,
 	isSuitable: (executor: C) => boolean,
--- a/packages/scheduling/src/place-task.ts
+++ b/packages/scheduling/src/place-task.ts
@@ -14,14 +14,14 @@
 } from './executor-trust.js';
 import {hasRoom} from './room.js';
 
-export type Candidate = {
+export type ExecutorCandidate = {
 	id: string;
 	service: string;
 	capacity: TaskDemand;
 	free: TaskDemand;
 	runCount: number;
 	/** Whether the executor's lease can be extended far enough for a new run; undefined counts as true. */
-	isExtendable?: boolean;
+	isLeaseExtendable?: boolean;
 	trust: ExecutorTrust;
 };
 
@@ -35,7 +35,7 @@
 	avoid: ReadonlySet<string>;
 };
 
-export function chooseExecutor<C extends Candidate>(
+export function chooseExecutor<C extends ExecutorCandidate>(
 	candidates: Iterable<C>,
 	task: TaskRequirements,
 	now: number,
@@ -59,22 +59,22 @@
 
 /** Whether the executor may take a task of this size now. */
 export function isAvailable(
-	candidate: Candidate,
+	candidate: ExecutorCandidate,
 	task: Pick<TaskRequirements, 'service' | 'demand'>,
 	now: number,
 ): boolean {
 	const {service, free, trust, runCount} = candidate;
 	return (
 		service === task.service &&
-		now >= trust.restsUntil &&
+		now >= trust.pausedUntil &&
 		hasRoom(free, task.demand) &&
-		candidate.isExtendable !== false &&
+		candidate.isLeaseExtendable !== false &&
 		!(isDoubted(trust) && runCount > 0)
 	);
 }
 
 function isSuitable(
-	candidate: Candidate,
+	candidate: ExecutorCandidate,
 	task: TaskRequirements,
 	now: number,
 ): boolean {
@@ -91,7 +91,7 @@
 const demeritWeight = 1e9;
 
 function weighExecutor(
-	{id, free, trust}: Candidate,
+	{id, free, trust}: ExecutorCandidate,
 	{avoid}: TaskRequirements,
 	now: number,
 ): number {
--- a/packages/scheduling/src/place-waiting.ts
+++ b/packages/scheduling/src/place-waiting.ts
@@ -15,7 +15,7 @@
 	type GroupJob,
 	type GroupTask,
 } from './group-job.js';
-import {chooseExecutor, type Candidate} from './place-task.js';
+import {chooseExecutor, type ExecutorCandidate} from './place-task.js';
 import {type PlacingRound} from './placing-round.js';
 import {compareJobs} from './rank-jobs.js';
 
@@ -25,7 +25,7 @@
 */
 const maxShifts = 2;
 
-export type PlacingActions<C extends Candidate> = {
+export type PlacingActions<C extends ExecutorCandidate> = {
 	/** Lists waiting tasks of which nothing runs: only these may be started or given back. */
 	listStartable: (job: GroupJob) => GroupTask[];
 	/** Whether no executor has crashed under the task, nor may have. */
@@ -39,7 +39,7 @@
 	) => void;
 };
 
-export function placeWaiting<C extends Candidate>(
+export function placeWaiting<C extends ExecutorCandidate>(
 	jobs: readonly GroupJob[],
 	round: PlacingRound<C>,
 	actions: PlacingActions<C>,
@@ -64,7 +64,7 @@
 }
 
 /** Least time for which the job's waiting tasks keep all executors of the round busy. */
-function computeBusyMs<C extends Candidate>(
+function computeBusyMs<C extends ExecutorCandidate>(
 	job: GroupJob,
 	{capacityCpu}: PlacingRound<C>,
 ): number {
@@ -73,7 +73,7 @@
 }
 
 /** Starts the job's tasks; returns false if there was no room for one of them. */
-function startTasks<C extends Candidate>(
+function startTasks<C extends ExecutorCandidate>(
 	job: GroupJob,
 	{now, candidates, hasRoomFor}: PlacingRound<C>,
 	{listStartable, isSound, start}: PlacingActions<C>,
@@ -102,7 +102,7 @@
 }
 
 /** Returns tasks that find no room here while another group has room for them now. */
-function shiftTasks<C extends Candidate>(
+function shiftTasks<C extends ExecutorCandidate>(
 	job: GroupJob,
 	{takeRoomElsewhere}: PlacingRound<C>,
 	{listStartable, giveBack}: PlacingActions<C>,
--- a/packages/scheduling/src/placing-round.test.ts
+++ b/packages/scheduling/src/placing-round.test.ts
@@ -4,14 +4,14 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {createTrust} from './executor-trust.js';
-import {type Candidate} from './place-task.js';
+import {type ExecutorCandidate} from './place-task.js';
 import {createPlacingRound} from './placing-round.js';
 
 function makeDemand(cpu: number) {
 	return {cpu, memoryMb: 64, accelerators: 0};
 }
 
-function makeCandidate(cpu: number, onSearch: () => void): Candidate {
+function makeCandidate(cpu: number, onSearch: () => void): ExecutorCandidate {
 	return {
 		id: 'e1',
 		service: 'meals',
--- a/packages/scheduling/src/placing-round.ts
+++ b/packages/scheduling/src/placing-round.ts
@@ -6,9 +6,9 @@
 for one job, there is none for another that needs as much.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
-import {isAvailable, type Candidate} from './place-task.js';
+import {isAvailable, type ExecutorCandidate} from './place-task.js';
 
-export type PlacingRound<C extends Candidate> = {
+export type PlacingRound<C extends ExecutorCandidate> = {
 	candidates: readonly C[];
 	/** Capacity of all candidates together, thousandths of a core. */
 	capacityCpu: number;
@@ -22,7 +22,7 @@
 	takeRoomElsewhere: (cpu: number, tasks: number) => number;
 };
 
-export function createPlacingRound<C extends Candidate>(
+export function createPlacingRound<C extends ExecutorCandidate>(
 	candidates: readonly C[],
 	now: number,
 	takeKnownRoom: (cpu: number, tasks: number) => number,
--- a/packages/scheduling/src/queue-table.ts
+++ b/packages/scheduling/src/queue-table.ts
@@ -27,7 +27,7 @@
 	/** Services that have executors. */
 	services: string[];
 	/** Those of `services` whose executors refuse starts that exceed their capacity. */
-	guardedServices: string[];
+	capacityEnforcingServices: string[];
 	/** Largest request body, bytes. */
 	maxBodyBytes: number;
 };
--- a/packages/scheduling/src/run-orders.ts
+++ b/packages/scheduling/src/run-orders.ts
@@ -10,10 +10,10 @@
 import {type CallFailure, type ExecutorControl} from './executor-control.js';
 import {type Executor} from './executor.js';
 import {type Run} from './run.js';
-import {dropStopMs} from './timing.js';
+import {dropStopLimitMs} from './timing.js';
 
 /** Delay before a failed call is repeated. */
-export const retryMs = 25;
+export const orderRetryMs = 25;
 
 export type RunOrderPorts = {
 	now: () => number;
@@ -28,7 +28,7 @@
 	isCurrent: (run: Run) => boolean;
 	/** Once aborted, no further order is sent. */
 	signal: AbortSignal;
-	onClock: (clockMs: number) => void;
+	onClockReading: (clockMs: number) => void;
 	onFailure: (failure: CallFailure, call: 'start' | 'stop') => void;
 	/** A stop was answered: the run is over, and the executor lists how it ended. */
 	onStopped: () => void;
@@ -64,7 +64,7 @@
 			spec,
 			leaseUntilMs,
 			token: getToken(),
-			answerLimitMs: answerTimes.getLimitMs(),
+			answerTimeoutMs: answerTimes.getTimeoutMs(),
 		});
 		recordAnswerTime(reply, sentAt);
 		if (!isCurrent(run)) {
@@ -76,7 +76,7 @@
 			return;
 		}
 
-		ports.onClock(reply.value.clockMs);
+		ports.onClockReading(reply.value.clockMs);
 		run.acceptedAt = now();
 		run.state = run.state === 'starting' ? 'running' : run.state;
 	}
@@ -86,9 +86,9 @@
 		sentAt: number,
 	) {
 		if (reply.isErr() && reply.error.code === 'unanswered') {
-			answerTimes.noteLost();
+			answerTimes.recordLoss();
 		} else {
-			answerTimes.note(now() - sentAt);
+			answerTimes.recordAnswer(now() - sentAt);
 		}
 	}
 
@@ -102,7 +102,7 @@
 			reason: failure.message,
 		});
 		if (failure.code === 'unanswered') {
-			stop(run, now() + dropStopMs);
+			stop(run, now() + dropStopLimitMs);
 			return;
 		}
 
@@ -132,7 +132,7 @@
 				index,
 				attempt,
 				token: getToken(),
-				answerLimitMs: answerTimes.getLimitMs(),
+				answerTimeoutMs: answerTimes.getTimeoutMs(),
 			});
 			recordAnswerTime(reply, sentAt);
 			if (reply.isOk() || reply.error.code === 'outdated') {
@@ -142,7 +142,7 @@
 			}
 
 			ports.onFailure(reply.error, 'stop');
-			await wait(retryMs, signal);
+			await wait(orderRetryMs, signal);
 		}
 	}
 
--- a/packages/scheduling/src/run-book.test.ts
+++ b/packages/scheduling/src/run-table.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {type LeaseReply} from './executor-control.js';
 import {noDemand} from './room.js';
-import {createRunBook} from './run-book.js';
+import {createRunTable} from './run-table.js';
 import {type Run} from './run.js';
 
 function makeRun(run: Partial<Run> = {}): Run {
@@ -14,7 +14,7 @@
 		state: 'running',
 		startedAt: 0,
 		acceptedAt: 5,
-		isFound: false,
+		isUnclaimed: false,
 		...run,
 	};
 }
@@ -23,13 +23,17 @@
 	return {clockMs: 0, running: [], ended: [], hasMoreEnds: false, ...report};
 }
 
-const context = {sentAt: 10, now: 20, foundDemand: {...noDemand, cpu: 16_000}};
+const context = {
+	sentAt: 10,
+	now: 20,
+	assumedDemand: {...noDemand, cpu: 16_000},
+};
 
 test('a report ends runs, adds unknown ones and updates the demand in use', () => {
-	const book = createRunBook();
+	const table = createRunTable();
 	const run = makeRun();
-	book.enter(run);
-	const {ended, found} = book.takeReport(
+	table.add(run);
+	const {ended, found} = table.applyReport(
 		makeReport({
 			running: [{job: 'job2', index: 3, attempt: 2}],
 			ended: [
@@ -40,7 +44,7 @@
 	);
 	assert.deepEqual(ended, [{run, outcome: 'done'}]);
 	assert.deepEqual(
-		found.map(({job, index, attempt, isFound}) => ({
+		found.map(({job, index, attempt, isUnclaimed: isFound}) => ({
 			job,
 			index,
 			attempt,
@@ -48,12 +52,12 @@
 		})),
 		[{job: 'job2', index: 3, attempt: 2, isFound: true}],
 	);
-	assert.equal(book.used.cpu, 16_000);
-	assert.equal(book.acknowledged, 1);
+	assert.equal(table.usedDemand.cpu, 16_000);
+	assert.equal(table.acknowledged, 1);
 });
 
 test('an end that is listed again changes nothing', () => {
-	const book = createRunBook();
+	const table = createRunTable();
 	const end = {
 		job: 'job1',
 		index: 0,
@@ -61,21 +65,21 @@
 		sequence: 1,
 		outcome: 'done',
 	} as const;
-	book.takeReport(makeReport({ended: [end]}), context);
+	table.applyReport(makeReport({ended: [end]}), context);
 	const again = makeRun({acceptedAt: 15});
-	book.enter(again);
-	const {ended} = book.takeReport(makeReport({ended: [end]}), context);
+	table.add(again);
+	const {ended} = table.applyReport(makeReport({ended: [end]}), context);
 	assert.deepEqual(ended, []);
-	assert.ok(book.isCurrent(again));
+	assert.ok(table.isCurrent(again));
 });
 
 // The executor was asked before it accepted the run, so its answer can't list the run. If the run were taken
 // for lost, its task would be started again.
 test('a run is not missing from a report that was asked for before it was accepted', () => {
-	const book = createRunBook();
-	book.enter(makeRun({acceptedAt: 15}));
-	assert.deepEqual(book.takeReport(makeReport(), context).ended, []);
-	const later = book.takeReport(makeReport(), {...context, sentAt: 16});
+	const table = createRunTable();
+	table.add(makeRun({acceptedAt: 15}));
+	assert.deepEqual(table.applyReport(makeReport(), context).ended, []);
+	const later = table.applyReport(makeReport(), {...context, sentAt: 16});
 	assert.deepEqual(
 		later.ended.map(({outcome}) => outcome),
 		['lost'],
@@ -85,8 +89,8 @@
 // More runs have ended than fit into one reply. Those whose ends come with the next reply are in neither list
 // of this one. If they were taken for lost, tasks that are done would run a second time.
 test('a run is not missing from a report that has more ends to come', () => {
-	const book = createRunBook();
-	book.enter(makeRun());
+	const table = createRunTable();
+	table.add(makeRun());
 	const part = makeReport({hasMoreEnds: true});
-	assert.deepEqual(book.takeReport(part, context).ended, []);
+	assert.deepEqual(table.applyReport(part, context).ended, []);
 });
--- a/packages/scheduling/src/run-book.ts
+++ b/packages/scheduling/src/run-table.ts
@@ -14,7 +14,7 @@
 } from './executor-control.js';
 import {addDemand, noDemand, removeDemand} from './room.js';
 import {formatTaskKey, type Run, type RunOutcome} from './run.js';
-import {createStrayEnds} from './stray-ends.js';
+import {createUnclaimedEnds} from './unclaimed-ends.js';
 
 export type EndedRun = {run: Run; outcome: RunOutcome};
 
@@ -33,46 +33,46 @@
 	sentAt: number;
 	now: number;
 	/** The demand assumed for a run whose demand is not known. */
-	foundDemand: TaskDemand;
+	assumedDemand: TaskDemand;
 };
 
-export type RunBook = {
+export type RunTable = {
 	readonly runs: ReadonlyMap<string, Run>;
 	/** The demand of all runs together. */
-	readonly used: TaskDemand;
+	readonly usedDemand: TaskDemand;
 	/** Ends with sequence numbers up to this one have been recorded. */
 	readonly acknowledged: number;
-	enter: (run: Run) => void;
+	add: (run: Run) => void;
 	remove: (run: Run) => void;
 	/** Whether the run is still the current one of its task. */
 	isCurrent: (run: Run) => boolean;
-	resize: (run: Run, demand: TaskDemand) => void;
-	takeReport: (report: LeaseReply, context: ReportContext) => ReportChange;
+	changeDemand: (run: Run, demand: TaskDemand) => void;
+	applyReport: (report: LeaseReply, context: ReportContext) => ReportChange;
 	/** Whether there are runs, or ends of runs, that an earlier holder may have started and nobody has claimed. */
-	readonly hasUnclaimed: boolean;
+	readonly hasUnclaimedRuns: boolean;
 	/** Returns, once, the end of a run of the task that was listed before anybody claimed the run. */
-	takeStrayEnd: (task: {job: string; index: number}) => RunEnd | undefined;
+	takeUnclaimedEnd: (task: {job: string; index: number}) => RunEnd | undefined;
 	forgetOldEnds: (now: number) => void;
 };
 
 /**
 @example
-const {ended, found} = book.takeReport(report, {sentAt, now, foundDemand});
+const {ended, found} = table.applyReport(report, {sentAt, now, assumedDemand});
 */
-export function createRunBook(): RunBook {
+export function createRunTable(): RunTable {
 	const runs = new Map<string, Run>();
-	const strayEnds = createStrayEnds();
-	let used = noDemand;
+	const unclaimedEnds = createUnclaimedEnds();
+	let usedDemand = noDemand;
 	let acknowledged = 0;
 
 	function addRun(run: Run): void {
 		runs.set(formatTaskKey(run), run);
-		used = addDemand(used, run.demand);
+		usedDemand = addDemand(usedDemand, run.demand);
 	}
 
 	function removeRun(run: Run): void {
 		runs.delete(formatTaskKey(run));
-		used = removeDemand(used, run.demand);
+		usedDemand = removeDemand(usedDemand, run.demand);
 	}
 
 	/** Records an end. Returns the run if it is a known one. */
@@ -83,8 +83,8 @@
 
 		acknowledged = end.sequence;
 		const run = runs.get(formatTaskKey(end));
-		if (!run || run.isFound) {
-			strayEnds.add(end, now);
+		if (!run || run.isUnclaimed) {
+			unclaimedEnds.add(end, now);
 		}
 
 		if (run?.attempt !== end.attempt) {
@@ -98,7 +98,7 @@
 	/** Records that a run is listed as running. Returns the run if it was not known. */
 	function recordRunning(
 		{job, index, attempt}: RunName,
-		{now, foundDemand}: ReportContext,
+		{now, assumedDemand: foundDemand}: ReportContext,
 	): Run | undefined {
 		const known = runs.get(formatTaskKey({job, index}));
 		if (known) {
@@ -113,7 +113,7 @@
 			demand: foundDemand,
 			state: 'running',
 			startedAt: now,
-			isFound: true,
+			isUnclaimed: true,
 		};
 		addRun(run);
 		return run;
@@ -121,15 +121,15 @@
 
 	return {
 		runs,
-		get used() {
-			return used;
+		get usedDemand() {
+			return usedDemand;
 		},
-		get hasUnclaimed() {
-			if (strayEnds.size > 0) {
+		get hasUnclaimedRuns() {
+			if (unclaimedEnds.size > 0) {
 				return true;
 			}
 
-			for (const {isFound} of runs.values()) {
+			for (const {isUnclaimed: isFound} of runs.values()) {
 				if (isFound) {
 					return true;
 				}
@@ -140,14 +140,14 @@
 		get acknowledged() {
 			return acknowledged;
 		},
-		enter: addRun,
+		add: addRun,
 		remove: removeRun,
 		isCurrent: (run) => runs.get(formatTaskKey(run)) === run,
-		resize(run, demand) {
-			used = addDemand(removeDemand(used, run.demand), demand);
+		changeDemand(run, demand) {
+			usedDemand = addDemand(removeDemand(usedDemand, run.demand), demand);
 			run.demand = demand;
 		},
-		takeReport(report, context) {
+		applyReport(report, context) {
 			const ended = report.ended.flatMap(
 				(end) => recordEnd(end, context.now) ?? [],
 			);
@@ -164,8 +164,8 @@
 
 			return {ended: [...ended, ...missing], found};
 		},
-		takeStrayEnd: strayEnds.take,
-		forgetOldEnds: strayEnds.forgetOld,
+		takeUnclaimedEnd: unclaimedEnds.take,
+		forgetOldEnds: unclaimedEnds.forgetOld,
 	};
 }
 
--- a/packages/scheduling/src/run-times.ts
+++ b/packages/scheduling/src/run-times.ts
@@ -11,7 +11,7 @@
 
 export type RunTimes = {
 	estimate: (queue: string, declaredMs: number) => number;
-	learn: (queue: string, runMs: number) => void;
+	addRunTime: (queue: string, runMs: number) => void;
 };
 
 export function createRunTimes(): RunTimes {
@@ -25,7 +25,7 @@
 
 			return declaredMs > 0 ? Math.sqrt(mean * declaredMs) : mean;
 		},
-		learn(queue, runMs) {
+		addRunTime(queue, runMs) {
 			const mean = means.get(queue) ?? runMs;
 			means.set(queue, mean + runWeight * (runMs - mean));
 		},
--- a/packages/scheduling/src/run.ts
+++ b/packages/scheduling/src/run.ts
@@ -27,7 +27,7 @@
 	/** The executor refused the start or could not be reached, so the run never began. */
 	isRefused?: boolean;
 	/** The run was found in a report, started by an earlier holder of the group, and no job has claimed it yet. */
-	isFound: boolean;
+	isUnclaimed: boolean;
 	/** The run has taken too long, and its executor's trust has been lowered for it. */
 	isOverdue?: boolean;
 };
--- a/packages/scheduling/src/succession.ts
+++ b/packages/scheduling/src/succession.ts
@@ -33,7 +33,7 @@
 @example
 const succession = createSuccession();
 succession.choose({key: 'mieres_m1', cores: 1.35}, {ownCores: 0.3, now: 0}); // undefined: it may have just started
-succession.choose({key: 'mieres_m1', cores: 1.35}, {ownCores: 0.3, now: yieldAfterMs}); // 'mieres_m1'
+succession.choose({key: 'mieres_m1', cores: 1.35}, {ownCores: 0.3, now: successorMinUpMs}); // 'mieres_m1'
 */
 export function createSuccession(): Succession {
 	let candidate: {key: string; since: number} | undefined;
--- a/packages/scheduling/src/takeover.test.ts
+++ b/packages/scheduling/src/takeover.test.ts
@@ -7,7 +7,7 @@
 import {
 	createFakeExecutors,
 	findOverlaps,
-	type CallFate,
+	type CallOutcome,
 	type FakeCall,
 } from './fake-executors.fixture.js';
 import {
@@ -18,7 +18,7 @@
 	openScheduler,
 	runFor,
 } from './group-scheduler.fixture.js';
-import {entryWordLimitMs} from './timing.js';
+import {entryAnswerLimitMs} from './timing.js';
 import {VirtualClock} from './virtual-clock.fixture.js';
 
 /**
@@ -41,11 +41,11 @@
 	const fake = executors.fakes.find(
 		({executor}) => executor.id === executors.runs[0]!.executor,
 	)!;
-	fake.cutFrom = new Set([2]);
+	fake.unreachableFrom = new Set([2]);
 	const second = createScheduler(clock, executors, 2);
 	second.receivePart(entry, {...part, stateAt: clock.now, isMoved: true});
 	await runFor(clock, 160, [[second, entry]]);
-	fake.cutFrom = new Set();
+	fake.unreachableFrom = new Set();
 	await runFor(clock, 3500, [[second, entry]]);
 	assert.deepEqual(findOverlaps(executors.runs), []);
 	assert.deepEqual(listOutcomes(entry), ['done']);
@@ -66,7 +66,7 @@
 	const other = executors.fakes.find(
 		({executor}) => executor.id !== executors.runs[0]!.executor,
 	)!;
-	other.cutFrom = 'all';
+	other.unreachableFrom = 'all';
 	const second = createScheduler(clock, executors, 2);
 	const moved = {...part, stateAt: clock.now, isMoved: true};
 	second.receivePart(entry, moved);
@@ -111,7 +111,7 @@
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 1,
 		taskMs: 5000,
-		decideFate: ({kind}: FakeCall): CallFate => ({
+		decideOutcome: ({kind}: FakeCall): CallOutcome => ({
 			type: isLossy && kind === 'stop' ? 'lost' : 'answered',
 		}),
 	});
@@ -139,7 +139,7 @@
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 2,
 		taskMs: 6000,
-		decideFate: ({kind}: FakeCall): CallFate =>
+		decideOutcome: ({kind}: FakeCall): CallOutcome =>
 			lateMs > 0 && kind === 'start'
 				? {type: 'late', ms: lateMs}
 				: {type: 'answered'},
@@ -150,10 +150,10 @@
 	await clock.run(10);
 	lateMs = 0;
 	const [silent, other] = executors.fakes;
-	silent!.cutFrom = 'all';
+	silent!.unreachableFrom = 'all';
 	scheduler.setExecutors([other!.executor]);
 	await runFor(clock, 2500, [[scheduler, entry]]);
-	silent!.cutFrom = new Set();
+	silent!.unreachableFrom = new Set();
 	scheduler.setExecutors(executors.executors);
 	const filler = makePart(clock, {
 		job: 'filler',
@@ -218,7 +218,7 @@
 	const second = createScheduler(clock, executors, 2);
 	second.receivePart(entry, {...part, stateAt: clock.now, isMoved: true});
 	await clock.run(0);
-	fake.cutFrom = 'all';
+	fake.unreachableFrom = 'all';
 	await runFor(clock, 4500, [[second, entry]]);
 	assert.deepEqual(findOverlaps(executors.runs), []);
 	assert.deepEqual(listOutcomes(entry), ['done']);
@@ -253,7 +253,7 @@
 		[second, later],
 	]);
 	assert.equal(executors.runs.length, 0);
-	assert.equal(later.replaced[0]?.isRefused, false);
+	assert.equal(later.replacedMessages[0]?.isRefused, false);
 });
 
 // Guards against a host that is down delaying a group that has changed hands.
@@ -265,6 +265,6 @@
 	});
 	const part = makePart(clock, {isMoved: true, timeLeftMs: 10_000});
 	second.receivePart(entry, part);
-	await runFor(clock, entryWordLimitMs + 100, [[second, entry]]);
+	await runFor(clock, entryAnswerLimitMs + 100, [[second, entry]]);
 	assert.equal(executors.runs.length, 1);
 });
--- a/packages/scheduling/src/timing.ts
+++ b/packages/scheduling/src/timing.ts
@@ -42,12 +42,12 @@
 How long the runs of a silent entry may go on after they should have been stopped, if the stop is not answered. Together
 with `entrySilenceMs` and the interval between two checks of it, they are over before callers resubmit their jobs.
 */
-export const orphanStopMs = 300;
+export const orphanStopLimitMs = 300;
 /**
 The same for runs that are stopped for another reason: the caller of a job that was given up resubmits it after
 1,300 ms.
 */
-export const dropStopMs = 1000;
+export const dropStopLimitMs = 1000;
 /**
 A run that an earlier holder started is stopped if no entry claims it within this time after it was found. The entry may
 have died with that holder. The lease under which the run was found ends at most `orphanLimitMs` after the entry's
@@ -59,7 +59,7 @@
 Entries answer the first state of a new holder within this time: one exchange between data centres, and a busy host's
 pause.
 */
-export const entryWordLimitMs = 100;
+export const entryAnswerLimitMs = 100;
 /** Allowance for two clocks that differ by 2% over the longest time limit here, and for a late timer. */
 export const clockSlackMs = 60;
 /** Longest time-out of a call to an executor: 20 round trips between data centres, and a busy host's pause. */
@@ -68,11 +68,11 @@
 A holder sends its state this often, and at once when the group changes hands. Four states fit into the silence after
 which a holder is replaced.
 */
-export const stateEveryMs = 150;
+export const stateIntervalMs = 150;
 /**
 A holder whose state was not received for this long offers no free capacity while other groups have some: two state
 messages are missing.
 */
-export const stateDoubtMs = 375;
+export const stateLateMs = 375;
 /** A holder whose state was not received for this long is sent no new parts: three state messages are missing. */
 export const stateStaleMs = 600;
--- a/packages/scheduling/src/stray-ends.ts
+++ b/packages/scheduling/src/unclaimed-ends.ts
@@ -7,9 +7,9 @@
 import {formatTaskKey} from './run.js';
 
 /** How long these ends are kept: a live entry sends its parts long before that. */
-const strayEndMs = 3000;
+const unclaimedEndLifetimeMs = 3000;
 
-export type StrayEnds = {
+export type UnclaimedEnds = {
 	add: (end: RunEnd, now: number) => void;
 	/** Removes and returns the task's end; undefined: there is none. */
 	take: (task: {job: string; index: number}) => RunEnd | undefined;
@@ -19,10 +19,10 @@
 
 /**
 @example
-strays.add(end, now);
-strays.take({job: 'a1', index: 0}); // the end, if it was that task's
+unclaimedEnds.add(end, now);
+unclaimedEnds.take({job: 'a1', index: 0}); // the end, if it was that task's
 */
-export function createStrayEnds(): StrayEnds {
+export function createUnclaimedEnds(): UnclaimedEnds {
 	const ends = new Map<string, {end: RunEnd; at: number}>();
 	return {
 		get size() {
@@ -39,7 +39,7 @@
 		},
 		forgetOld(now) {
 			for (const [key, {at}] of ends) {
-				if (now - at > strayEndMs) {
+				if (now - at > unclaimedEndLifetimeMs) {
 					ends.delete(key);
 				}
 			}
