--- a/packages/slots/src/after-reading.test.ts
+++ b/packages/slots/src/after-reading.test.ts
@@ -7,7 +7,7 @@
 
 const pauseMs = 50;
 
-/** Both ends of a connection of this process to itself. */
+/** Opens a connection of this process to itself and returns both ends. */
 async function openPair(context: TestContext) {
 	const server = net.createServer();
 	server.listen(0, '127.0.0.1');
@@ -23,12 +23,12 @@
 	return {near, far};
 }
 
-/** Keeps the loop from going on, as a frozen process does; what is sent meanwhile waits in its sockets. */
+/** Blocks the event loop as a freeze of the process would: data sent meanwhile stays unread in the sockets. */
 function blockLoop(): void {
 	Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, pauseMs);
 }
 
-/** Pauses the loop while it calls back, with a message sent to it meanwhile; gives the order of what follows. */
+/** Has `callBack` pause the event loop, while a message arrives, and returns the order of reading the message and running the work. */
 async function recordOrder(
 	context: TestContext,
 	callBack: (pause: () => void) => Promise<void>,
@@ -39,7 +39,7 @@
 		order.push('read');
 	});
 	await callBack(() => {
-		near.write('news');
+		near.write('message');
 		blockLoop();
 		runAfterReading(() => {
 			order.push('run');
@@ -52,8 +52,8 @@
 	return order;
 }
 
-// Guards against work of a timer that is late after a pause and that runs by news of before the pause.
-test('what came during a pause is read before the work that a late timer asks for', async (context) => {
+// Otherwise work that a delayed timer starts after a pause would act on state from before the pause.
+test('a message that arrives during a pause is read before the work that a delayed timer schedules', async (context) => {
 	const order = await recordOrder(context, async (pause) => {
 		await delay(1);
 		pause();
@@ -61,8 +61,8 @@
 	assert.deepEqual(order, ['read', 'run']);
 });
 
-// Guards against work of a message found before a pause in the same loop turn and that runs by news of before the pause.
-test('what came during a pause is read before the work that a message of before it asks for', async (context) => {
+// Otherwise work of a message that the loop turn found before a pause would act on state from before the pause.
+test('a message that arrives during a pause is read before the work that an earlier message schedules', async (context) => {
 	const {near, far} = await openPair(context);
 	const order = await recordOrder(context, async (pause) => {
 		near.write('work');
--- a/packages/slots/src/after-reading.ts
+++ b/packages/slots/src/after-reading.ts
@@ -1,8 +1,9 @@
 /**
-Runs work when the loop has read all that had come in when this was called.
+Runs `work` once the event loop has read all input that had arrived when this function was called.
 
-The rest of the present loop turn may still handle what was found before a pause of this host, or be
-its timers, which come before any reading; the next one, a whole turn, reads what came meanwhile.
+The current loop turn isn't enough after a pause of this host: the turn may be handling input that it
+found before the pause, or be running timers, which precede the poll for input. The next turn is a
+complete one, and reads the input that arrived during the pause.
 */
 export function runAfterReading(work: () => void): void {
 	setImmediate(() => {
--- a/packages/slots/src/borrower.test.ts
+++ b/packages/slots/src/borrower.test.ts
@@ -3,8 +3,9 @@
 import {openExchange} from './exchange.fixture.js';
 import {leaseRenewMs} from './ports.js';
 
-// Guards against a host that stalls when many jobs come before its lease is answered: each told the demand of all that wait once more.
-test('jobs that come before a lease is answered ask for it once', async (context) => {
+// A lease request is sent along with the demands of all waiting jobs. If each job that arrives before the
+// first answer sent a request, the host would stall when many jobs arrive.
+test('jobs that arrive before a lease request is answered send no further request', async (context) => {
 	const {sent, clock, submit, fireTimers} = openExchange(context, 'mieres_m2');
 	const countSent = () => {
 		const types = sent.splice(0).map(({t}) => t);
@@ -20,7 +21,11 @@
 	assert.deepEqual(countSent(), [1, 10]);
 	clock.now += leaseRenewMs;
 	submit(11);
-	assert.deepEqual(countSent(), [1, 11], 'a request without an answer');
+	assert.deepEqual(
+		countSent(),
+		[1, 11],
+		'after a request that was not answered',
+	);
 	fireTimers();
-	assert.deepEqual(countSent(), [1, 11], 'a renewal');
+	assert.deepEqual(countSent(), [1, 11], 'after a renewal');
 });
--- a/packages/slots/src/borrower.ts
+++ b/packages/slots/src/borrower.ts
@@ -1,6 +1,6 @@
 /**
-The borrowing side: tells keepers what this host's jobs want, and hands granted slots to the
-jobs' owner under a lease.
+The borrowing side: sends the demands of this host's jobs to the keepers, and passes granted slots
+on to the jobs. A slot is usable only while this host holds a lease from the keeper.
 */
 import {type SlotOutcome} from '@gentianshift/decisions';
 import {
@@ -20,22 +20,23 @@
 import {leaseRenewMs, type SlotPorts} from './ports.js';
 import {Releases} from './releases.js';
 
-/** A job's demand is told anew when its remaining work fell by this part: it ranks by it. */
+/** A job's demand is sent again when its remaining work has fallen by this fraction, because the keeper ranks jobs by remaining work. */
 const tellFraction = 0.1;
 
-/** A slot that can't be used yet (lease or executor not known here) is given back after this, milliseconds. */
+/** Time in milliseconds after which a slot is returned if it is still unusable: no valid lease, or the executor isn't known here yet. */
 const holdMs = 100;
 
-/** Each so many requests a lease carries all that is held, so that a lost release is found. */
+/** Every so many lease requests, the full list of held slots is sent, so that the keeper detects a lost release. */
 const listEvery = 8;
 
-/** How often a waiting job's demand is told although nothing changed, milliseconds. */
+/** Interval in milliseconds at which the demand of a waiting job is sent again although it hasn't changed. */
 const repeatMs = 1000;
 
 type BorrowingJob = {
 	demand: JobDemand;
+	/** Data centre to whose keeper the demand is sent. */
 	home: string;
-	/** Slots granted since the demand was first told. */
+	/** Number of slots granted since the demand was first sent. */
 	granted: number;
 	isAdmitted: boolean;
 	toldRemaining: number;
@@ -51,9 +52,9 @@
 	readonly #held = new Map<number, HeldSlot>();
 	readonly #leases = new LeaseBook();
 	readonly #releases: Releases;
-	/** Granted, and not usable yet. */
+	/** Granted slots that aren't usable yet, by slot number, with the time at which they are returned. */
 	readonly #pending = new Map<number, {slot: HeldSlot; until: number}>();
-	/** Tasks that ended on slots kept, by place: they go with the next lease. */
+	/** Outcomes of tasks whose slots were kept, by target and data centre. They are sent with the next lease request. */
 	readonly #reports = new Map<string, MessageOf<'lease'>['reports']>();
 	readonly #timer: NodeJS.Timeout;
 
@@ -128,7 +129,7 @@
 		}
 	}
 
-	/** Work has begun to wait at a keeper: what was gathered for it goes back now. */
+	/** Handles `hunger`, which a keeper sends when tasks begin to queue there: buffered releases are sent at once. */
 	receiveHunger(keeper: string, message: MessageOf<'hunger'>): void {
 		this.#noteHunger(keeper, message.target, true);
 		this.#releases.flush();
@@ -150,7 +151,7 @@
 		this.#usePending();
 	}
 
-	/** What this host holds of a target in a data centre, for its keeper. */
+	/** Slots of a target in a data centre that this host holds, as reported to the keeper. */
 	listHeld({target, dataCentre}: Place): LentSlot[] {
 		return [...this.#held.values()]
 			.filter(
@@ -159,7 +160,7 @@
 			.map(({executor, slot, job}) => ({executor, slot, job}));
 	}
 
-	/** Hosts or resources changed: keepers may be others now. */
+	/** Must be called when hosts or resources have changed: the keepers may have changed with them. */
 	refreshKeepers(): void {
 		for (const {lease, ...place} of this.#leases.list()) {
 			const keeper = this.#ports.findKeeper(place.target, place.dataCentre);
@@ -172,7 +173,7 @@
 		this.#moveHomeless();
 	}
 
-	/** The link to a host is up or down: what its keeper knew of this host is gone. */
+	/** Must be called when the link to a host goes up or down: that host's keepers have lost their state about this host. */
 	resetKeeper(hostKey: string): void {
 		for (const {lease} of this.#leases.list()) {
 			if (lease.keeper === hostKey) {
@@ -195,8 +196,9 @@
 	}
 
 	/**
-	The own data centre where it serves the target, else the one with the most executors. One
-	without a live keeper serves nobody: its only host may be stopping, or have died.
+	Chooses this host's own data centre if it serves the target, else the one with the most executors.
+	A data centre without a live keeper is passed over, because nobody lends its slots: its only host
+	may be stopping or may have died.
 	*/
 	#chooseHome(target: string): string {
 		const places = this.#ports
@@ -212,7 +214,7 @@
 		return [...places].toSorted((a, b) => count(b) - count(a))[0]!;
 	}
 
-	/** Jobs whose home has no keeper any more wait at another data centre's. */
+	/** Moves the demand of each job whose data centre has lost its keeper to another data centre's keeper. */
 	#moveHomeless(): void {
 		for (const job of this.#jobs.values()) {
 			const {target} = job.demand;
@@ -230,8 +232,10 @@
 	}
 
 	/**
-	With a request goes each waiting job's demand. Sent for each new job until the first answer, that
-	would take seconds of the loop where hundreds come at once to a host on which a thousand wait.
+	Requests a lease from each of the target's keepers, unless a lease is valid or a request is pending.
+	A request for a lease that isn't valid is sent along with the demand of every waiting job. If each
+	new job sent one until the first answer, the event loop would be blocked for seconds when hundreds
+	of jobs arrive at once on a host where a thousand wait.
 	*/
 	#openLeases(target: string): void {
 		const now = this.#ports.now();
@@ -376,7 +380,7 @@
 	): boolean {
 		const job = this.#jobs.get(slot.job);
 		if (job) {
-			// One of those queued starts on this slot right away, if it is kept.
+			// If the slot is kept, one of the queued tasks starts on it right away.
 			job.demand = {
 				...job.demand,
 				...left,
@@ -416,7 +420,7 @@
 		this.#releases.add(slot, {slot: slot.slot, isHungry}, outcome);
 	}
 
-	/** A slot of this job came to nothing: it wants another one. */
+	/** Asks for another slot for a job, because a granted one was returned unused. */
 	#askAgain(number: number): void {
 		const job = this.#jobs.get(number);
 		if (job) {
@@ -437,7 +441,7 @@
 		this.#repeatDemands();
 	}
 
-	/** A waiting job's demand is told now and then, so that a lost grant is found. */
+	/** Sends the demands of waiting jobs again at intervals, so that the keeper detects a lost grant. */
 	#repeatDemands(): void {
 		const now = this.#ports.now();
 		for (const job of this.#jobs.values()) {
@@ -448,8 +452,9 @@
 	}
 
 	/**
-	A keeper that doesn't answer may not hold the role yet by its own view, and have dropped what
-	it was told: it is told again with each request until it answers.
+	Sends the demands again, and has the next lease request list the held slots. A host that doesn't
+	answer may not know yet that it is the keeper, and may have dropped earlier messages, so this is
+	repeated with each request until it answers.
 	*/
 	#tellAgain(place: Place, lease: Lease): void {
 		lease.isTold = false;
--- a/packages/slots/src/exchange.fixture.ts
+++ b/packages/slots/src/exchange.fixture.ts
@@ -1,5 +1,5 @@
 /**
-The slots of one host with everything around them replaced by what a test sets or keeps.
+A slot exchange of one host. Its ports are replaced by values that the test sets and by records of what is sent.
 */
 import assert from 'node:assert/strict';
 import {type TestContext} from 'node:test';
@@ -18,7 +18,7 @@
 	state: 'active',
 };
 
-/** A host and the slots that `keeper`, else itself, lends it as the only borrower; its timers fire when a test says so. */
+/** Opens a host's slot exchange. `keeper`, by default the host itself, lends to this host alone. Timers fire only by `fireTimers`. */
 export function openExchange(context: TestContext, keeper = 'mieres_m1') {
 	context.mock.timers.enable({apis: ['setInterval', 'setTimeout']});
 	const clock = {now: 1000};
@@ -44,10 +44,10 @@
 		listShares: () => new Map(),
 		listPeers: () => [],
 		log() {
-			// Not read.
+			// These tests don't check log lines.
 		},
 		countWasted() {
-			// Not of interest here.
+			// These tests don't check this count.
 		},
 	};
 	const exchange = new SlotExchange({ports, listTargets: () => ['kitchens']});
@@ -60,7 +60,9 @@
 			}
 		},
 		onRefusal() {
-			assert.fail('there is room and time');
+			assert.fail(
+				'a job was refused although slots are free and its deadline is far off',
+			);
 		},
 	});
 	exchange.refresh();
@@ -71,12 +73,12 @@
 		source.demandSlots(makeDemand(job, queued, clock.now));
 	};
 
-	/** The host is frozen for longer than its leases; its clock goes on. */
+	/** Freezes the host for longer than a lease term: its clock advances, and nothing runs. */
 	const freeze = () => {
 		clock.now += 4 * leaseTermMs;
 	};
 
-	/** The change that was sent during the pause is read. */
+	/** Has the host read the change, sent during the pause, that the executor is leaving. */
 	const readLeaving = () => {
 		news.isLeaving = true;
 		exchange.refresh();
--- a/packages/slots/src/keeper.test.ts
+++ b/packages/slots/src/keeper.test.ts
@@ -15,7 +15,7 @@
 	state: 'active',
 };
 
-/** A keeper alone in its data centre, on a clock that a test sets; all it sends is kept. */
+/** Opens a keeper on the only host of its data centre, with a clock that the test sets, and records all messages it sends. */
 function openKeeper(context: TestContext) {
 	const clock = {now: 1000};
 	const sent: Message[] = [];
@@ -40,10 +40,10 @@
 		listShares: () => new Map(),
 		listPeers: () => [],
 		log() {
-			// Not read.
+			// These tests don't check log lines.
 		},
 		countWasted() {
-			// Not of interest here.
+			// These tests don't check this count.
 		},
 	};
 	const keeper = new Keeper('kitchens', ports);
@@ -70,9 +70,10 @@
 	waitedMs: 0,
 };
 
-// Guards against a restarted host whose callers wait a lease term for the slots of the process before.
-for (const order of ['dropped first', 'heard first']) {
-	test(`slots of a former process of a host wait only for its tasks (${order})`, async (context) => {
+// Otherwise the callers of a restarted host would wait a whole lease term for the slots that its previous
+// process held.
+for (const order of ['session lost first', 'new process first']) {
+	test(`slots of a host's previous process are lent again once its tasks should have ended (${order})`, async (context) => {
 		const {keeper, clock, take} = openKeeper(context);
 		const steps = [
 			() => {
@@ -86,12 +87,14 @@
 		keeper.receiveDemand('mieres_m2.a', demand);
 		await nextTurn();
 		assert.equal(take('grant')[0]!.slots.length, 3);
-		for (const step of order === 'dropped first' ? steps : steps.toReversed()) {
+		for (const step of order === 'session lost first'
+			? steps
+			: steps.toReversed()) {
 			step();
 		}
 
 		keeper.receiveDemand('mieres_m2.b', demand);
-		// Tasks of 100 ms, nearly all of which end in a few times that.
+		// Tasks take 100 ms, and nearly all end within a few times that.
 		clock.now += 700;
 		keeper.refreshResources();
 		await nextTurn();
@@ -99,9 +102,9 @@
 	});
 }
 
-test('slots lent to another data centre are told as free again when they are back', async (context) => {
-	// The other keeper counts what it asks for as gone. If it never hears that the same number is
-	// free again, it leaves these slots idle while its own jobs wait.
+test('slots lent to another data centre are reported free again after their return', async (context) => {
+	// The other keeper subtracts the slots that it requests. If it is never sent the same number of free
+	// slots again, it leaves these slots idle while its own jobs wait.
 	const {keeper, clock, take} = openKeeper(context);
 	await nextTurn();
 	assert.deepEqual(
--- a/packages/slots/src/keeper.ts
+++ b/packages/slots/src/keeper.ts
@@ -1,11 +1,12 @@
 /**
-The keeper of one target's slots in this host's data centre: carries the decisions of the
-decisions package to borrowers and to the keepers of other data centres.
-
-A keeper's state is soft. What goes wrong: the keeper dies, freezes or is cut off, and another
-host takes the role by its own view. Noticed by the borrowers, whose lease lapses within
-`leaseTermMs`. The new keeper lends nothing until every live host has told what it holds, or a
-whole lease term has passed, so that no slot is lent twice beyond that overlap.
+The keeper of one target's slots in this host's data centre. It sends the lending decisions, which the
+decisions package makes, to borrowers and to the keepers of other data centres.
+
+A keeper's state is held in memory only. If the keeper dies, freezes or is partitioned, another host
+takes the role as soon as its own view says so. Borrowers detect this because their leases expire
+within `leaseTermMs`. The new keeper lends nothing until every live host has reported the slots that
+it holds, or until a whole lease term has passed. A slot can therefore be lent twice only within that
+overlap.
 */
 import {
 	createLender,
@@ -17,10 +18,10 @@
 import {runAfterReading} from './after-reading.js';
 import {leaseTermMs, type SlotPorts} from './ports.js';
 
-/** Soonest that "free" or "none free" is told again to other data centres. */
+/** Shortest interval in milliseconds between state messages to other data centres after a relevant change. */
 const stateEveryMs = 5;
 
-/** Slots another data centre's keeper last said to have free, less those asked for since. */
+/** Number of free slots that another data centre's keeper last reported, less those requested since. */
 type Remote = {free: number};
 
 export class Keeper {
@@ -31,9 +32,9 @@
 	readonly #remotes = new Map<string, Remote>();
 	readonly #awaited: Set<string>;
 	readonly #startedAt: number;
-	/** The process that each host was last heard as. */
+	/** Owner ID of the process that each host last sent from, by host key. */
 	readonly #processes = new Map<string, string>();
-	/** By host: a process whose slots are kept back as it may still start tasks. */
+	/** Owner IDs, by host key, of lost processes whose slots are quarantined because they may still start tasks. */
 	readonly #lostOwners = new Map<string, string>();
 	#recoveryTimer: NodeJS.Timeout | undefined;
 	#timer: NodeJS.Timeout | undefined;
@@ -41,17 +42,17 @@
 	#isScheduled = false;
 	#isStopped = false;
 	#isHungry = false;
-	/** Borrowers that were last told that nothing waits. */
+	/** Owner IDs of the borrowers whose last message from this keeper said that no tasks are queued. */
 	readonly #sated = new Set<string>();
 	#toldFree = -1;
 	#toldAt = 0;
-	/** News that came too soon after what was told last is told then. */
+	/** Time of the next state message, if a change came too soon after the last one; else infinite. */
 	#stateDueAt = Infinity;
 
 	constructor(target: string, ports: SlotPorts) {
 		this.target = target;
 		this.#ports = ports;
-		// Numbers of another range than the keeper's before, whose slots are taken over.
+		// A random range of slot numbers, so that they differ from the previous keeper's, whose slots are taken over.
 		this.#term = Math.floor(ports.random() * 2 ** 40);
 		this.#lender = createLender({firstSlot: this.#term, leaseMs: leaseTermMs});
 		this.#awaited = new Set(ports.listPeers());
@@ -60,7 +61,7 @@
 		this.#startRecovery();
 	}
 
-	/** Executors or teams changed. */
+	/** Must be called when executors or teams have changed. */
 	refreshResources(): void {
 		const {dataCentre, listExecutors, isLeaving, listShares, now} = this.#ports;
 		const executors = listExecutors(this.target, dataCentre).map(
@@ -94,8 +95,9 @@
 	}
 
 	/**
-	The answer waits until all that has come is read. After a pause of this host, that an executor is
-	leaving may lie unread: its owner here, asking by a late timer, would start a task there.
+	Answers only once all input that has arrived is read. After a pause of this host, the message that an
+	executor is leaving may still be unread. If the borrower on this host requested its lease by a
+	delayed timer and got an answer at once, it would start a task on that executor.
 	*/
 	receiveLease(ownerId: string, message: MessageOf<'lease'>): void {
 		if (message.held) {
@@ -111,14 +113,14 @@
 		});
 	}
 
-	/** A keeper of another data centre asks for its owner. */
+	/** Handles a request of another data centre's keeper for slots for one of its borrowers. */
 	receiveShift(senderId: string, message: MessageOf<'shift'>): void {
 		const now = this.#ports.now();
 		const demand = toDemand(message.owner, message.demand);
 		const grants = this.#lender.shiftIn(demand, message.count, now);
 		this.#sendGrants(message.owner, grants);
 		const {free} = this.#lender.readState(now);
-		// The asker goes on from this figure; what comes back must be news to it.
+		// The requesting keeper now has this figure. Slots returned later then count as a change, so they are reported to it.
 		this.#toldFree = free;
 		this.#ports.sendToOwner(senderId, {
 			t: 'shifted',
@@ -149,7 +151,7 @@
 		this.#schedule();
 	}
 
-	/** A host told what it holds, in answer to this keeper's question. */
+	/** Handles a host's list of held slots, its answer to this keeper's `ask-held`. */
 	receiveHeld(
 		ownerId: string,
 		hostKey: string,
@@ -162,7 +164,7 @@
 		}
 	}
 
-	/** The owner's process is gone, or its connection: its slots are quarantined. */
+	/** Must be called when an owner's process or connection is lost: the owner's slots are quarantined. */
 	dropOwner(ownerId: string, hostKey: string): void {
 		this.#sated.delete(ownerId);
 		this.#quarantine(ownerId, hostKey);
@@ -174,8 +176,8 @@
 	}
 
 	/**
-	A host speaks as this process. Another one that it ran before is gone, and starts nothing under its lease any more: its
-	slots are not kept back for that long.
+	Records which process a host runs now. Its previous process has ended and can't start tasks under
+	its lease any more, so the quarantine of that process's slots need not last for the lease term.
 	*/
 	noteOwner(ownerId: string, hostKey: string): void {
 		this.#processes.set(hostKey, ownerId);
@@ -235,7 +237,7 @@
 
 	#startRecovery(): void {
 		this.#lender.startRecovery(this.#ports.now());
-		this.#writeLog('keeper begins: asking hosts what they hold', {
+		this.#writeLog('keeper starts: asking hosts which slots they hold', {
 			hosts: this.#awaited.size,
 		});
 		const {dataCentre, sendToHost} = this.#ports;
@@ -263,7 +265,7 @@
 		this.#schedule();
 	}
 
-	/** One decision for all messages of a loop turn. */
+	/** Schedules one round of decisions for all messages of an event loop turn. */
 	#schedule(): void {
 		if (this.#isScheduled || this.#isStopped) {
 			return;
@@ -359,7 +361,10 @@
 		});
 	}
 
-	/** Asks the data centre with the most known free slots; at most once in a while where none was. */
+	/**
+	Requests slots from the data centre with the most free slots known here. A data centre that has none,
+	or can't be reached, isn't asked again until its keeper reports free slots.
+	*/
 	#shift(owner: string, job: number, count: number, now: number): void {
 		const demand = this.#lender.readDemand(owner, job);
 		const best = this.#findFreest();
@@ -412,7 +417,10 @@
 		this.#remotes.set(dataCentre, {free});
 	}
 
-	/** Tells the other data centres' keepers when "free" turns to "none free" or back. */
+	/**
+	Sends the number of free slots to the other data centres' keepers: soon when it becomes zero or
+	ceases to be, or has changed by more than an eighth of all slots; else after a quarter of a lease term.
+	*/
 	#tellState(now: number): void {
 		const {free, slots, queuedWorkMs} = this.#lender.readState(now);
 		const isNews =
@@ -445,7 +453,7 @@
 		}
 	}
 
-	/** Borrowers that gather what they give back must stop as soon as work waits. */
+	/** Informs borrowers as soon as tasks are queued, so that they stop buffering the slots they return. */
 	#updateHunger(now: number): void {
 		this.#isHungry = this.#lender.readState(now).queuedTasks > 0;
 		if (!this.#isHungry) {
@@ -459,7 +467,7 @@
 		this.#sated.clear();
 	}
 
-	/** Notes what a borrower is told with a message to it. */
+	/** Returns the `isHungry` value for a message to a borrower (whether tasks are queued) and records that it is sent. */
 	#tellHunger(owner: string): boolean {
 		if (!this.#isHungry) {
 			this.#sated.add(owner);
--- a/packages/slots/src/lease-book.ts
+++ b/packages/slots/src/lease-book.ts
@@ -1,5 +1,5 @@
 /**
-A borrower's leases: one for each target and data centre that it has work or slots of.
+A borrower's leases: one for each target and data centre where it has demand or holds slots.
 */
 import {Lease} from './lease.js';
 
@@ -25,7 +25,7 @@
 		return [...this.#entries.values()];
 	}
 
-	/** Those of a target with one keeper: as a rule one. */
+	/** Leases of a target that one keeper grants: usually one. */
 	listWith(keeper: string, target: string): Entry[] {
 		return this.list().filter(
 			(entry) => entry.lease.keeper === keeper && entry.target === target,
--- a/packages/slots/src/lease.ts
+++ b/packages/slots/src/lease.ts
@@ -1,31 +1,35 @@
 /**
-A borrower's lease with the keeper of one target in one data centre. It is counted from when it
-was asked for, by the borrower's own monotonic clock, and read right before each start.
+A borrower's lease with the keeper of one target in one data centre. The lease term is counted from
+the time of the request, by the borrower's own monotonic clock, and is checked right before each
+task start.
 
-What goes wrong: the keeper is frozen or cut off and cannot say that an executor is leaving; or
-this host was paused while its lease ran out. Either way nothing new starts once the term is
-over, at most `leaseTermMs` after the last request that was answered.
+The lease covers two failures: the keeper is frozen or partitioned and cannot report that an executor
+is leaving, or this host was paused while its lease expired. In both cases the borrower starts no task
+after the lease has expired, which is at most `leaseTermMs` after the last request that was answered.
 */
 import {leaseTermMs} from './ports.js';
 
-/** An answer that takes longer than this is no longer waited for before the next request, milliseconds. */
+/** Time in milliseconds after which an unanswered request no longer holds back the next one. */
 const answerMs = 50;
 
 export class Lease {
-	/** Host key of the keeper it is with. */
+	/** Host key of the keeper that grants this lease. */
 	keeper: string | undefined;
-	/** Executors that the keeper says are leaving. */
+	/** Names of the executors that are leaving, as listed in the keeper's last answer. */
 	leaving: ReadonlySet<string> = new Set();
-	/** Work waits at the keeper: slots go back at once. */
+	/**
+	Whether tasks are queued at the keeper (`isHungry` in its messages): if so, slots are returned
+	without buffering.
+	*/
 	isHungry = true;
-	/** Whether this keeper has been told what this host holds. */
+	/** Whether the list of slots that this host holds has been sent to this keeper. */
 	isTold = false;
 	#until = -Infinity;
 	#sequence = 0;
 	#term: number | undefined;
 	readonly #askedAt = new Map<number, number>();
 
-	/** Another keeper: the lease with the one before says nothing any more. */
+	/** Switches to another keeper. The lease granted by the previous keeper is no longer valid. */
 	changeKeeper(keeper: string | undefined): void {
 		this.keeper = keeper;
 		this.isTold = false;
@@ -35,7 +39,7 @@
 		this.#askedAt.clear();
 	}
 
-	/** Notes a request; its sequence number goes with it. */
+	/** Records a lease request sent at `now` and returns the sequence number to send with it. */
 	ask(now: number): number {
 		this.#sequence += 1;
 		this.#askedAt.set(this.#sequence, now);
@@ -49,8 +53,9 @@
 	}
 
 	/**
-	Extends it by an answer. False when the keeper's term is another than before: it took the
-	role anew and must be told what this host holds and wants.
+	Extends the lease when its keeper has answered a request. Returns false when the keeper's term has
+	changed: the keeper has taken the role anew without its former state, so this host must send its
+	held slots and its demands again.
 	*/
 	extend(sequence: number, term: number, leaving: readonly string[]): boolean {
 		const askedAt = this.#askedAt.get(sequence);
@@ -65,7 +70,7 @@
 		return isSame;
 	}
 
-	/** Asked for a moment ago, and not answered yet. */
+	/** Whether a recent request is still unanswered. */
 	isAwaited(now: number): boolean {
 		return [...this.#askedAt.values()].some(
 			(askedAt) => now - askedAt < answerMs,
--- a/packages/slots/src/own-view-source.ts
+++ b/packages/slots/src/own-view-source.ts
@@ -1,7 +1,7 @@
 /**
-A source of slots for a host on its own: it knows only its own requests and picks an executor by
-a function passed in. The baseline that the keepers are measured against, and the thin first
-version of the dispatcher.
+A source of slots that works without keepers: the host counts only its own requests and picks
+executors by a function passed in. It is the baseline that keepers are measured against, and was the
+minimal first version of the dispatcher.
 */
 import {type SlotOutcome} from '@gentianshift/decisions';
 import {
@@ -12,27 +12,27 @@
 } from '@gentianshift/jobs';
 import {type Executor} from '@gentianshift/resources';
 
-/** An executor with this host's own requests under way there. */
+/** An executor and the number of this host's own unfinished requests to it. */
 export type ExecutorView = {executor: Executor; outstanding: number};
 
-/** Picks where the next task goes, among executors with a free slot by this host's own count. */
+/** Picks the executor for the next task, among those with a free slot by this host's own count. */
 export type PickExecutor = (
 	views: readonly ExecutorView[],
 	random: () => number,
 ) => ExecutorView | undefined;
 
-/** Pause before a task goes out again after an executor refused it, milliseconds. */
+/** Time in milliseconds before the next slots are granted after an executor has refused a task. */
 const refusedPauseMs = 5;
 
 export type OwnViewOptions = {
 	pick: PickExecutor;
 	/** Uniform in [0, 1). */
 	random: () => number;
-	/** Executors of a target that take work now. */
+	/** Executors of a target that accept tasks. */
 	listExecutors: (target: string) => readonly Executor[];
 };
 
-/** Picks any executor with a free slot. */
+/** Picks one of the given executors at random, all with the same probability. */
 export function pickRandom(
 	views: readonly ExecutorView[],
 	random: () => number,
@@ -40,7 +40,7 @@
 	return views[Math.floor(random() * views.length)];
 }
 
-/** Of two random executors, the one with fewer own requests relative to its slots. */
+/** Picks two executors at random and returns the one with fewer of this host's requests per slot. */
 export function pickLeastOfTwo(
 	views: readonly ExecutorView[],
 	random: () => number,
@@ -89,7 +89,7 @@
 			.filter((view) => view.outstanding < view.executor.slots);
 	}
 
-	/** First come, first served. */
+	/** Grants free slots to jobs in the order of their first demand. */
 	function grantAll(): void {
 		for (const demand of waiting.values()) {
 			grantJob(demand);
@@ -107,7 +107,7 @@
 			changeOutstanding(view.executor, 1);
 			handlers.onSlot(demand.job, createSlot(view.executor, demand.target));
 			if (countOutstanding(view.executor) === before) {
-				// The job could not use it.
+				// The job has released the slot unused.
 				return;
 			}
 		}
--- a/packages/slots/src/ports.ts
+++ b/packages/slots/src/ports.ts
@@ -1,5 +1,9 @@
 /**
-What lending and borrowing of slots need of the host, as functions passed in.
+The host's functions that lending and borrowing of slots depend on.
+
+A keeper is the host that lends the slots of one target's executors in one data centre. A borrower is
+a host whose jobs use these slots. Each host is identified by its host key, and each process of a host
+by its owner ID.
 */
 import {type TeamShare} from '@gentianshift/decisions';
 import {type Message} from '@gentianshift/protocol';
@@ -8,38 +12,38 @@
 export type SlotPorts = {
 	/** `<data centre>_<host>`. */
 	hostKey: string;
-	/** `<host key>.<incarnation>`: who borrows. */
+	/** `<host key>.<incarnation>`: identifies this process of the host as a borrower. */
 	ownerId: string;
 	dataCentre: string;
 	/** Monotonic milliseconds. */
 	now: () => number;
 	/** Uniform in [0, 1). */
 	random: () => number;
-	/** Over this host's link to another host; false when there is none. */
+	/** Sends over this host's link to another host. Returns false when there is no link. */
 	sendToHost: (hostKey: string, message: Message) => boolean;
-	/** Over the session of an owner that dialled this host; false when there is none. */
+	/** Sends over the session that an owner has opened to this host. Returns false when there is no session. */
 	sendToOwner: (ownerId: string, message: Message) => boolean;
-	/** The host that lends a target's executors in a data centre, as this host sees it. */
+	/** Host key of a target's keeper in a data centre, according to this host's view, which may be outdated. */
 	findKeeper: (target: string, dataCentre: string) => string | undefined;
-	/** All executors of a target in a data centre, leaving ones included. */
+	/** All executors of a target in a data centre, including those that are leaving. */
 	listExecutors: (target: string, dataCentre: string) => readonly Executor[];
-	/** Data centres where the target has executors that take work. */
+	/** Data centres where the target has executors that accept tasks. */
 	listDataCentres: (target: string) => readonly string[];
-	/** An executor that takes work now; undefined when unknown or leaving. */
+	/** The executor of that name if it accepts tasks; undefined when it is unknown or leaving. */
 	findActive: (target: string, executor: string) => Executor | undefined;
-	/** Whether the executor, or its target, or its worker, is leaving. */
+	/** Whether the executor, its target or its worker is leaving. */
 	isLeaving: (target: string, executor: Executor) => boolean;
-	/** Teams' shares, each quota cut to this data centre's part of the target's slots. */
+	/** Shares by team. Each quota is scaled to this data centre's part of the target's slots. */
 	listShares: (target: string) => ReadonlyMap<string, TeamShare>;
-	/** Other live hosts. */
+	/** Host keys of the other live hosts. */
 	listPeers: () => readonly string[];
 	countWasted: (reason: string, count?: number) => void;
-	/** A line for each change of what a keeper or borrower believes. */
+	/** Writes a log line for each change in the state of a keeper or borrower. */
 	log: (message: string, fields: Record<string, unknown>) => void;
 };
 
-/** How long a borrower may start tasks after it asked for its lease. */
+/** Time in milliseconds that a borrower may start tasks after it has sent an answered lease request. */
 export const leaseTermMs = 1000;
 
-/** How often a lease is asked for anew: one lost message must not end it. */
+/** Interval in milliseconds between lease requests: short enough that one lost message doesn't end the lease. */
 export const leaseRenewMs = 350;
--- a/packages/slots/src/releases.ts
+++ b/packages/slots/src/releases.ts
@@ -1,14 +1,14 @@
 /**
-Slots on their way back to their keepers, gathered so that many travel in one message.
+Buffers slots to be returned to their keepers, so that one message returns many slots.
 */
 import {type SlotOutcome} from '@gentianshift/decisions';
 import {type MessageOf} from '@gentianshift/protocol';
 import {formatPlace, type Place} from './lease-book.js';
 
 /**
-How long releases are gathered while nothing waits at the keeper, milliseconds. A job's last
-tasks end over hundreds of milliseconds, a message each else; a job that comes meanwhile finds
-these slots that much later, a twentieth of a task.
+Time in milliseconds that releases are buffered while no tasks are queued at the keeper. The last tasks
+of a job end over hundreds of milliseconds, and without buffering each would cost a message. A job
+that arrives in this time gets the buffered slots later by at most this time, a twentieth of a task.
 */
 const gatherMs = 10;
 
@@ -24,7 +24,7 @@
 		this.#send = send;
 	}
 
-	/** `isHungry`: work waits at the keeper; the slot goes back with this loop turn. */
+	/** Buffers a slot. If tasks are queued at the keeper, the buffer is sent at the end of this event loop turn. */
 	add(
 		{target, dataCentre}: Place,
 		{slot, isHungry}: {slot: number; isHungry: boolean},
@@ -41,7 +41,7 @@
 		this.#schedule(isHungry);
 	}
 
-	/** Sends all that was gathered. */
+	/** Sends all buffered releases, in one message for each keeper. */
 	flush(): void {
 		this.stop();
 		this.#isFlushing = false;
--- a/packages/slots/src/slot-exchange.test.ts
+++ b/packages/slots/src/slot-exchange.test.ts
@@ -3,7 +3,7 @@
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import {openExchange} from './exchange.fixture.js';
 
-/** Enough loop turns for all that a message brings about on one host. */
+/** Enough event loop turns for a message to be handled on one host, with all follow-up messages. */
 const manyTurns = 10;
 
 async function waitTurns(): Promise<void> {
@@ -12,8 +12,9 @@
 	}
 }
 
-// Guards against a host that wakes from a freeze and, by a lease that its own keeper renewed before reading, starts a task on an executor that is leaving.
-test('a thawed host starts nothing on its kept slots before it has read what came meanwhile', async (context) => {
+// After a freeze, the host's own keeper must not renew the lease before the host has read its input: the
+// host would start a task on an executor that is leaving.
+test('after a freeze, a host starts nothing on its kept slots before it has read what arrived meanwhile', async (context) => {
 	const {starts, submit, freeze, readLeaving, fireTimers} =
 		openExchange(context);
 	submit(1, 3);
@@ -33,8 +34,9 @@
 	assert.equal(starts.length, 2);
 });
 
-// Guards against a host, frozen while it handles a loop turn, that starts a job of the rest of that turn on an executor that is leaving.
-test('a host thawed amid a loop turn starts nothing before the next turn has read what came meanwhile', async (context) => {
+// If a host freezes within an event loop turn, the rest of that turn may bring a job. Without this rule the
+// host would start the job on an executor that is leaving.
+test('after a freeze within a loop turn, a host starts nothing before the next turn has read what arrived meanwhile', async (context) => {
 	const {starts, submit, freeze, readLeaving} = openExchange(context);
 	submit(1);
 	await waitTurns();
@@ -47,8 +49,8 @@
 	assert.equal(starts.length, 1);
 });
 
-// Guards against a host that leaves its free slots idle after a thaw until the next renewal of its leases.
-test('a thawed host starts what waits once it has read what came meanwhile', async (context) => {
+// Otherwise the host would leave its free slots idle after a freeze until the next renewal of its leases.
+test('after a freeze, a host starts waiting jobs once it has read what arrived meanwhile', async (context) => {
 	const {starts, clock, submit, freeze, fireTimers} = openExchange(context);
 	submit(1);
 	await waitTurns();
--- a/packages/slots/src/slot-exchange.ts
+++ b/packages/slots/src/slot-exchange.ts
@@ -1,6 +1,6 @@
 /**
-The slots of this host, both sides: the keepers of the targets whose role it holds, and its own
-borrower. Messages between the two on one host take no connection.
+Both sides of slot lending on this host: the keepers of those targets for which this host has the role,
+and the host's own borrower. Messages between the two are delivered directly, without a connection.
 */
 import {type SlotHandlers, type SlotSource} from '@gentianshift/jobs';
 import {type Message} from '@gentianshift/protocol';
@@ -40,7 +40,7 @@
 		return this.#borrower;
 	}
 
-	/** Hosts or resources changed: takes up and lays down keepers' roles. */
+	/** Must be called when hosts or resources have changed: starts and stops keepers to match this host's roles. */
 	refresh(): void {
 		const {dataCentre, findKeeper, hostKey} = this.#ports;
 		const mine = new Set(
@@ -66,7 +66,7 @@
 		this.#borrower?.refreshKeepers();
 	}
 
-	/** A message from the asking side of a session; false when it is none of this package's. */
+	/** Handles a message from the side that opened a session. Returns false when the message doesn't belong to this package. */
 	receiveRequest(
 		sender: {ownerId: string; hostKey: string},
 		message: Message,
@@ -88,7 +88,7 @@
 		return true;
 	}
 
-	/** A message from the answering side of a link; false when it is none of this package's. */
+	/** Handles a message from the host that this host has dialled. Returns false when the message doesn't belong to this package. */
 	receiveReply(
 		sender: {ownerId: string; hostKey: string; dataCentre: string},
 		message: Message,
@@ -113,26 +113,26 @@
 		);
 	}
 
-	/** A host's process has opened a session. */
+	/** Must be called when a process of a host has opened a session to this host. */
 	noteOwner(ownerId: string, hostKey: string): void {
 		for (const keeper of this.#keepers.values()) {
 			keeper.noteOwner(ownerId, hostKey);
 		}
 	}
 
-	/** A borrower's session ended. */
+	/** Must be called when a borrower's session has ended. */
 	dropOwner(ownerId: string, hostKey: string): void {
 		for (const keeper of this.#keepers.values()) {
 			keeper.dropOwner(ownerId, hostKey);
 		}
 	}
 
-	/** A link came up or went down. */
+	/** Must be called when the link to a host has gone up or down. */
 	resetKeeper(hostKey: string): void {
 		this.#borrower?.resetKeeper(hostKey);
 	}
 
-	/** State of the keepers on this host, for operators. */
+	/** State of the keepers on this host, to be shown to operators. */
 	listKeepers(): Array<{
 		target: string;
 		state: ReturnType<Keeper['readState']>;
