--- a/packages/slots/src/borrower.ts
+++ b/packages/slots/src/borrower.ts
@@ -16,9 +16,9 @@
 } from '@gentianshift/protocol';
 import {type Executor} from '@gentianshift/resources';
 import {type Lease} from './lease.js';
-import {formatPlace, LeaseBook, type Place} from './lease-book.js';
+import {formatPlace, LeaseBook, type Place} from './lease-table.js';
 import {leaseRenewMs, type SlotPorts} from './ports.js';
-import {Releases} from './releases.js';
+import {Releases} from './release-buffer.js';
 
 /** A job's demand is sent again when its remaining work has fallen by this fraction, because the keeper ranks jobs by remaining work. */
 const tellFraction = 0.1;
--- a/packages/slots/src/keeper.ts
+++ b/packages/slots/src/keeper.ts
@@ -15,7 +15,7 @@
 	type LendingDecisions,
 } from '@gentianshift/decisions';
 import {type MessageOf} from '@gentianshift/protocol';
-import {runAfterReading} from './after-reading.js';
+import {runAfterReading} from './after-next-poll.js';
 import {leaseTermMs, type SlotPorts} from './ports.js';
 
 /** Shortest interval in milliseconds between state messages to other data centres after a relevant change. */
--- a/packages/slots/src/releases.ts
+++ b/packages/slots/src/release-buffer.ts
@@ -3,7 +3,7 @@
 */
 import {type SlotOutcome} from '@gentianshift/decisions';
 import {type MessageOf} from '@gentianshift/protocol';
-import {formatPlace, type Place} from './lease-book.js';
+import {formatPlace, type Place} from './lease-table.js';
 
 /**
 Time in milliseconds that releases are buffered while no tasks are queued at the keeper. The last tasks
