--- a/packages/slots/src/after-next-poll.test.ts
+++ b/packages/slots/src/after-next-poll.test.ts
@@ -3,7 +3,7 @@
 import net from 'node:net';
 import {test, type TestContext} from 'node:test';
 import {setTimeout as delay} from 'node:timers/promises';
-import {runAfterReading} from './after-next-poll.js';
+import {runAfterNextPoll} from './after-next-poll.js';
 
 const pauseMs = 50;
 
@@ -41,7 +41,7 @@
 	await callBack(() => {
 		near.write('message');
 		blockLoop();
-		runAfterReading(() => {
+		runAfterNextPoll(() => {
 			order.push('run');
 		});
 	});
--- a/packages/slots/src/after-next-poll.ts
+++ b/packages/slots/src/after-next-poll.ts
@@ -5,7 +5,7 @@
 found before the pause, or be running timers, which precede the poll for input. The next turn is a
 complete one, and reads the input that arrived during the pause.
 */
-export function runAfterReading(work: () => void): void {
+export function runAfterNextPoll(work: () => void): void {
 	setImmediate(() => {
 		setImmediate(work);
 	});
--- a/packages/slots/src/borrower.test.ts
+++ b/packages/slots/src/borrower.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {openExchange} from './exchange.fixture.js';
-import {leaseRenewMs} from './ports.js';
+import {leaseRenewIntervalMs} from './ports.js';
 
 // A lease request is sent along with the demands of all waiting jobs. If each job that arrives before the
 // first answer sent a request, the host would stall when many jobs arrive.
@@ -19,7 +19,7 @@
 	}
 
 	assert.deepEqual(countSent(), [1, 10]);
-	clock.now += leaseRenewMs;
+	clock.now += leaseRenewIntervalMs;
 	submit(11);
 	assert.deepEqual(
 		countSent(),
--- a/packages/slots/src/borrower.ts
+++ b/packages/slots/src/borrower.ts
@@ -16,44 +16,44 @@
 } from '@gentianshift/protocol';
 import {type Executor} from '@gentianshift/resources';
 import {type Lease} from './lease.js';
-import {formatPlace, LeaseBook, type Place} from './lease-table.js';
-import {leaseRenewMs, type SlotPorts} from './ports.js';
-import {Releases} from './release-buffer.js';
+import {formatLeaseKey, LeaseTable, type LeaseKey} from './lease-table.js';
+import {leaseRenewIntervalMs, type SlotPorts} from './ports.js';
+import {ReleaseBuffer} from './release-buffer.js';
 
 /** A job's demand is sent again when its remaining work has fallen by this fraction, because the keeper ranks jobs by remaining work. */
-const tellFraction = 0.1;
+const demandUpdateFraction = 0.1;
 
 /** Time in milliseconds after which a slot is returned if it is still unusable: no valid lease, or the executor isn't known here yet. */
-const holdMs = 100;
+const pendingSlotTimeoutMs = 100;
 
 /** Every so many lease requests, the full list of held slots is sent, so that the keeper detects a lost release. */
-const listEvery = 8;
+const requestsPerHeldList = 8;
 
 /** Interval in milliseconds at which the demand of a waiting job is sent again although it hasn't changed. */
-const repeatMs = 1000;
+const demandRepeatMs = 1000;
 
 type BorrowingJob = {
 	demand: JobDemand;
 	/** Data centre to whose keeper the demand is sent. */
-	home: string;
+	homeDataCentre: string;
 	/** Number of slots granted since the demand was first sent. */
 	granted: number;
 	isAdmitted: boolean;
-	toldRemaining: number;
-	toldAt: number;
+	sentRemaining: number;
+	demandSentAt: number;
 };
 
-type HeldSlot = LentSlot & Place & {isRecalled: boolean};
+type HeldSlot = LentSlot & LeaseKey & {isRecalled: boolean};
 
 export class Borrower implements SlotSource {
 	readonly #ports: SlotPorts;
 	readonly #handlers: SlotHandlers;
 	readonly #jobs = new Map<number, BorrowingJob>();
-	readonly #held = new Map<number, HeldSlot>();
-	readonly #leases = new LeaseBook();
-	readonly #releases: Releases;
+	readonly #heldSlots = new Map<number, HeldSlot>();
+	readonly #leases = new LeaseTable();
+	readonly #releases: ReleaseBuffer;
 	/** Granted slots that aren't usable yet, by slot number, with the time at which they are returned. */
-	readonly #pending = new Map<number, {slot: HeldSlot; until: number}>();
+	readonly #pendingSlots = new Map<number, {slot: HeldSlot; until: number}>();
 	/** Outcomes of tasks whose slots were kept, by target and data centre. They are sent with the next lease request. */
 	readonly #reports = new Map<string, MessageOf<'lease'>['reports']>();
 	readonly #timer: NodeJS.Timeout;
@@ -61,33 +61,33 @@
 	constructor(ports: SlotPorts, handlers: SlotHandlers) {
 		this.#ports = ports;
 		this.#handlers = handlers;
-		this.#releases = new Releases((place, message) => {
-			this.#sendToKeeper(place, message);
+		this.#releases = new ReleaseBuffer((leaseKey, message) => {
+			this.#sendToKeeper(leaseKey, message);
 		});
 		this.#timer = setInterval(() => {
 			this.#renewLeases();
-		}, leaseRenewMs);
+		}, leaseRenewIntervalMs);
 	}
 
 	demandSlots(demand: JobDemand): void {
 		const known = this.#jobs.get(demand.job);
 		if (known) {
 			known.demand = demand;
-			this.#tellDemand(known);
+			this.#sendDemand(known);
 			return;
 		}
 
 		const job = {
 			demand,
-			home: this.#chooseHome(demand.target),
+			homeDataCentre: this.#chooseHomeDataCentre(demand.target),
 			granted: 0,
 			isAdmitted: demand.hasStarted,
-			toldRemaining: demand.remaining,
-			toldAt: 0,
+			sentRemaining: demand.remaining,
+			demandSentAt: 0,
 		};
 		this.#openLeases(demand.target);
 		this.#jobs.set(demand.job, job);
-		this.#tellDemand(job);
+		this.#sendDemand(job);
 	}
 
 	withdrawDemand(number: number): void {
@@ -99,15 +99,15 @@
 		this.#jobs.delete(number);
 		const {target} = job.demand;
 		this.#sendToKeeper(
-			{target, dataCentre: job.home},
+			{target, dataCentre: job.homeDataCentre},
 			{t: 'withdraw', target, job: number},
 		);
 	}
 
 	receiveGrant(keeper: string, message: MessageOf<'grant'>): void {
-		this.#noteHunger(keeper, message.target, message.isHungry);
+		this.#setHasQueuedTasks(keeper, message.target, message.isHungry);
 		for (const lent of message.slots) {
-			this.#takeSlot(keeper, message.target, lent);
+			this.#acceptSlot(keeper, message.target, lent);
 		}
 	}
 
@@ -122,7 +122,7 @@
 
 	receiveRecall(message: MessageOf<'recall'>): void {
 		for (const number of message.slots) {
-			const slot = this.#held.get(number);
+			const slot = this.#heldSlots.get(number);
 			if (slot) {
 				slot.isRecalled = true;
 			}
@@ -131,29 +131,29 @@
 
 	/** Handles `hunger`, which a keeper sends when tasks begin to queue there: buffered releases are sent at once. */
 	receiveHunger(keeper: string, message: MessageOf<'hunger'>): void {
-		this.#noteHunger(keeper, message.target, true);
+		this.#setHasQueuedTasks(keeper, message.target, true);
 		this.#releases.flush();
 	}
 
 	receiveLeased(keeper: string, message: MessageOf<'leased'>): void {
-		this.#noteHunger(keeper, message.target, message.isHungry);
+		this.#setHasQueuedTasks(keeper, message.target, message.isHungry);
 		const {sequence, term, leaving} = message;
-		for (const {lease, ...place} of this.#leases.listWith(
+		for (const {lease, ...leaseKey} of this.#leases.listByKeeper(
 			keeper,
 			message.target,
 		)) {
 			if (!lease.extend(sequence, term, leaving)) {
-				this.#tellAgain(place, lease);
-				this.#renewLease(place, lease);
+				this.#startResync(leaseKey, lease);
+				this.#renewLease(leaseKey, lease);
 			}
 		}
 
-		this.#usePending();
+		this.#handOverPending();
 	}
 
 	/** Slots of a target in a data centre that this host holds, as reported to the keeper. */
-	listHeld({target, dataCentre}: Place): LentSlot[] {
-		return [...this.#held.values()]
+	listHeld({target, dataCentre}: LeaseKey): LentSlot[] {
+		return [...this.#heldSlots.values()]
 			.filter(
 				(slot) => slot.target === target && slot.dataCentre === dataCentre,
 			)
@@ -162,15 +162,18 @@
 
 	/** Must be called when hosts or resources have changed: the keepers may have changed with them. */
 	refreshKeepers(): void {
-		for (const {lease, ...place} of this.#leases.list()) {
-			const keeper = this.#ports.findKeeper(place.target, place.dataCentre);
+		for (const {lease, ...leaseKey} of this.#leases.list()) {
+			const keeper = this.#ports.findKeeper(
+				leaseKey.target,
+				leaseKey.dataCentre,
+			);
 			if (keeper !== lease.keeper) {
 				lease.changeKeeper(keeper);
-				this.#renewLease(place, lease);
+				this.#renewLease(leaseKey, lease);
 			}
 		}
 
-		this.#moveHomeless();
+		this.#moveOrphanedJobs();
 	}
 
 	/** Must be called when the link to a host goes up or down: that host's keepers have lost their state about this host. */
@@ -189,9 +192,13 @@
 		clearInterval(this.#timer);
 	}
 
-	#noteHunger(keeper: string, target: string, isHungry: boolean): void {
-		for (const {lease} of this.#leases.listWith(keeper, target)) {
-			lease.isHungry = isHungry;
+	#setHasQueuedTasks(
+		keeper: string,
+		target: string,
+		hasQueuedTasks: boolean,
+	): void {
+		for (const {lease} of this.#leases.listByKeeper(keeper, target)) {
+			lease.hasQueuedTasks = hasQueuedTasks;
 		}
 	}
 
@@ -200,33 +207,35 @@
 	A data centre without a live keeper is passed over, because nobody lends its slots: its only host
 	may be stopping or may have died.
 	*/
-	#chooseHome(target: string): string {
-		const places = this.#ports
+	#chooseHomeDataCentre(target: string): string {
+		const candidates = this.#ports
 			.listDataCentres(target)
-			.filter((place) => this.#ports.findKeeper(target, place) !== undefined);
+			.filter(
+				(candidate) => this.#ports.findKeeper(target, candidate) !== undefined,
+			);
 		const {dataCentre} = this.#ports;
-		if (places.length === 0 || places.includes(dataCentre)) {
+		if (candidates.length === 0 || candidates.includes(dataCentre)) {
 			return dataCentre;
 		}
 
-		const count = (place: string) =>
-			this.#ports.listExecutors(target, place).length;
-		return [...places].toSorted((a, b) => count(b) - count(a))[0]!;
+		const count = (candidate: string) =>
+			this.#ports.listExecutors(target, candidate).length;
+		return [...candidates].toSorted((a, b) => count(b) - count(a))[0]!;
 	}
 
 	/** Moves the demand of each job whose data centre has lost its keeper to another data centre's keeper. */
-	#moveHomeless(): void {
+	#moveOrphanedJobs(): void {
 		for (const job of this.#jobs.values()) {
 			const {target} = job.demand;
-			if (this.#ports.findKeeper(target, job.home) !== undefined) {
+			if (this.#ports.findKeeper(target, job.homeDataCentre) !== undefined) {
 				continue;
 			}
 
-			const home = this.#chooseHome(target);
-			if (home !== job.home) {
-				job.home = home;
+			const homeDataCentre = this.#chooseHomeDataCentre(target);
+			if (homeDataCentre !== job.homeDataCentre) {
+				job.homeDataCentre = homeDataCentre;
 				this.#openLeases(target);
-				this.#tellDemand(job);
+				this.#sendDemand(job);
 			}
 		}
 	}
@@ -240,23 +249,24 @@
 	#openLeases(target: string): void {
 		const now = this.#ports.now();
 		for (const dataCentre of this.#ports.listDataCentres(target)) {
-			const place = {target, dataCentre};
+			const leaseKey = {target, dataCentre};
 			const keeper = this.#ports.findKeeper(target, dataCentre);
-			const lease = this.#leases.get(place) ?? this.#leases.open(place, keeper);
-			if (!lease.isValid(now) && !lease.isAwaited(now)) {
-				this.#renewLease(place, lease);
+			const lease =
+				this.#leases.get(leaseKey) ?? this.#leases.open(leaseKey, keeper);
+			if (!lease.isValid(now) && !lease.hasPendingRequest(now)) {
+				this.#renewLease(leaseKey, lease);
 			}
 		}
 	}
 
-	#tellDemand(job: BorrowingJob): void {
+	#sendDemand(job: BorrowingJob): void {
 		const {demand} = job;
 		const {target, queued, ...rest} = demand;
 		const now = this.#ports.now();
-		job.toldRemaining = demand.remaining;
-		job.toldAt = now;
-		const place = {target, dataCentre: job.home};
-		this.#sendToKeeper(place, {
+		job.sentRemaining = demand.remaining;
+		job.demandSentAt = now;
+		const leaseKey = {target, dataCentre: job.homeDataCentre};
+		this.#sendToKeeper(leaseKey, {
 			t: 'demand',
 			target,
 			job: rest.job,
@@ -275,39 +285,42 @@
 
 	#countPending({demand}: BorrowingJob): number {
 		let count = 0;
-		for (const {slot} of this.#pending.values()) {
+		for (const {slot} of this.#pendingSlots.values()) {
 			count += Number(slot.job === demand.job);
 		}
 
 		return count;
 	}
 
-	#countHeldElsewhere({demand, home}: BorrowingJob): number {
+	#countHeldElsewhere({demand, homeDataCentre}: BorrowingJob): number {
 		let count = 0;
-		for (const slot of this.#held.values()) {
-			count += Number(slot.job === demand.job && slot.dataCentre !== home);
+		for (const slot of this.#heldSlots.values()) {
+			count += Number(
+				slot.job === demand.job && slot.dataCentre !== homeDataCentre,
+			);
 		}
 
 		return count;
 	}
 
-	#retellDemands({target, dataCentre}: Place): void {
+	#sendWaitingDemands({target, dataCentre}: LeaseKey): void {
 		for (const job of this.#jobs.values()) {
 			if (
 				job.demand.target === target &&
-				job.home === dataCentre &&
+				job.homeDataCentre === dataCentre &&
 				job.demand.queued > 0
 			) {
-				this.#tellDemand(job);
+				this.#sendDemand(job);
 			}
 		}
 	}
 
-	#takeSlot(keeper: string, target: string, lent: LentSlot): void {
+	#acceptSlot(keeper: string, target: string, lent: LentSlot): void {
 		const executor = this.#ports.findActive(target, lent.executor);
-		const dataCentre = executor?.dataCentre ?? this.#findPlace(target, keeper);
+		const dataCentre =
+			executor?.dataCentre ?? this.#findDataCentre(target, keeper);
 		const slot: HeldSlot = {...lent, target, dataCentre, isRecalled: false};
-		this.#held.set(lent.slot, slot);
+		this.#heldSlots.set(lent.slot, slot);
 		const job = this.#jobs.get(lent.job);
 		if (job) {
 			job.granted += 1;
@@ -317,29 +330,32 @@
 		if (this.#isUsable(slot)) {
 			this.#handOver(slot, executor!);
 		} else {
-			this.#pending.set(slot.slot, {slot, until: this.#ports.now() + holdMs});
+			this.#pendingSlots.set(slot.slot, {
+				slot,
+				until: this.#ports.now() + pendingSlotTimeoutMs,
+			});
 			setTimeout(() => {
-				this.#usePending();
-			}, holdMs + 1);
+				this.#handOverPending();
+			}, pendingSlotTimeoutMs + 1);
 		}
 	}
 
-	#findPlace(target: string, keeper: string): string {
-		const [entry] = this.#leases.listWith(keeper, target);
+	#findDataCentre(target: string, keeper: string): string {
+		const [entry] = this.#leases.listByKeeper(keeper, target);
 		return entry?.dataCentre ?? this.#ports.dataCentre;
 	}
 
-	#usePending(): void {
+	#handOverPending(): void {
 		const now = this.#ports.now();
-		for (const {slot, until} of this.#pending.values()) {
+		for (const {slot, until} of this.#pendingSlots.values()) {
 			const executor = this.#ports.findActive(slot.target, slot.executor);
 			if (executor && this.#isUsable(slot)) {
-				this.#pending.delete(slot.slot);
+				this.#pendingSlots.delete(slot.slot);
 				this.#handOver(slot, executor);
 			} else if (now >= until) {
-				this.#pending.delete(slot.slot);
+				this.#pendingSlots.delete(slot.slot);
 				this.#release(slot, {result: 'unused', runMs: 0});
-				this.#askAgain(slot.job);
+				this.#sendDemandOf(slot.job);
 			}
 		}
 	}
@@ -347,7 +363,7 @@
 	#handOver(slot: HeldSlot, executor: Executor): void {
 		this.#handlers.onSlot(slot.job, this.#createUsable(slot, executor));
 		const job = this.#jobs.get(slot.job);
-		if (job && this.#held.has(slot.slot)) {
+		if (job && this.#heldSlots.has(slot.slot)) {
 			job.demand = {...job.demand, queued: job.demand.queued - 1};
 		}
 	}
@@ -392,23 +408,26 @@
 			return false;
 		}
 
-		this.#report(slot, outcome);
-		if (job && left.remaining <= job.toldRemaining * (1 - tellFraction)) {
-			this.#tellDemand(job);
+		this.#addReport(slot, outcome);
+		if (
+			job &&
+			left.remaining <= job.sentRemaining * (1 - demandUpdateFraction)
+		) {
+			this.#sendDemand(job);
 		}
 
 		return true;
 	}
 
-	#report(slot: HeldSlot, outcome: SlotOutcome): void {
-		const key = formatPlace(slot);
+	#addReport(slot: HeldSlot, outcome: SlotOutcome): void {
+		const key = formatLeaseKey(slot);
 		const reports = this.#reports.get(key) ?? [];
 		reports.push({slot: slot.slot, ...outcome});
 		this.#reports.set(key, reports);
 	}
 
 	#release(slot: HeldSlot, outcome: SlotOutcome): void {
-		if (!this.#held.delete(slot.slot)) {
+		if (!this.#heldSlots.delete(slot.slot)) {
 			return;
 		}
 
@@ -416,25 +435,25 @@
 			this.#ports.countWasted('unused-grant');
 		}
 
-		const isHungry = this.#leases.get(slot)?.isHungry ?? true;
-		this.#releases.add(slot, {slot: slot.slot, isHungry}, outcome);
+		const hasQueuedTasks = this.#leases.get(slot)?.hasQueuedTasks ?? true;
+		this.#releases.add(slot, {slot: slot.slot, hasQueuedTasks}, outcome);
 	}
 
 	/** Asks for another slot for a job, because a granted one was returned unused. */
-	#askAgain(number: number): void {
+	#sendDemandOf(number: number): void {
 		const job = this.#jobs.get(number);
 		if (job) {
-			this.#tellDemand(job);
+			this.#sendDemand(job);
 		}
 	}
 
 	#renewLeases(): void {
 		this.refreshKeepers();
-		for (const {lease, ...place} of this.#leases.list()) {
-			if (this.#isLeaseNeeded(place.target)) {
-				this.#renewLease(place, lease);
+		for (const {lease, ...leaseKey} of this.#leases.list()) {
+			if (this.#isLeaseNeeded(leaseKey.target)) {
+				this.#renewLease(leaseKey, lease);
 			} else {
-				this.#leases.delete(place);
+				this.#leases.delete(leaseKey);
 			}
 		}
 
@@ -445,8 +464,8 @@
 	#repeatDemands(): void {
 		const now = this.#ports.now();
 		for (const job of this.#jobs.values()) {
-			if (job.demand.queued > 0 && now - job.toldAt > repeatMs) {
-				this.#tellDemand(job);
+			if (job.demand.queued > 0 && now - job.demandSentAt > demandRepeatMs) {
+				this.#sendDemand(job);
 			}
 		}
 	}
@@ -456,9 +475,9 @@
 	answer may not know yet that it is the keeper, and may have dropped earlier messages, so this is
 	repeated with each request until it answers.
 	*/
-	#tellAgain(place: Place, lease: Lease): void {
-		lease.isTold = false;
-		this.#retellDemands(place);
+	#startResync(leaseKey: LeaseKey, lease: Lease): void {
+		lease.hasSentHeldSlots = false;
+		this.#sendWaitingDemands(leaseKey);
 	}
 
 	#isLeaseNeeded(target: string): boolean {
@@ -468,7 +487,7 @@
 			}
 		}
 
-		for (const slot of this.#held.values()) {
+		for (const slot of this.#heldSlots.values()) {
 			if (slot.target === target) {
 				return true;
 			}
@@ -477,28 +496,29 @@
 		return false;
 	}
 
-	#renewLease(place: Place, lease: Lease): void {
+	#renewLease(leaseKey: LeaseKey, lease: Lease): void {
 		if (!lease.isValid(this.#ports.now())) {
-			this.#tellAgain(place, lease);
+			this.#startResync(leaseKey, lease);
 		}
 
-		const key = formatPlace(place);
-		const sequence = lease.ask(this.#ports.now());
-		const isListed = !lease.isTold || sequence % listEvery === 0;
+		const key = formatLeaseKey(leaseKey);
+		const sequence = lease.recordRequest(this.#ports.now());
+		const isListed =
+			!lease.hasSentHeldSlots || sequence % requestsPerHeldList === 0;
 		const message: MessageOf<'lease'> = {
 			t: 'lease',
-			target: place.target,
+			target: leaseKey.target,
 			sequence,
-			held: isListed ? this.listHeld(place) : undefined,
+			held: isListed ? this.listHeld(leaseKey) : undefined,
 			reports: this.#reports.get(key) ?? [],
 		};
-		if (this.#sendToKeeper(place, message)) {
-			lease.isTold = true;
+		if (this.#sendToKeeper(leaseKey, message)) {
+			lease.hasSentHeldSlots = true;
 			this.#reports.delete(key);
 		}
 	}
 
-	#sendToKeeper({target, dataCentre}: Place, message: Message): boolean {
+	#sendToKeeper({target, dataCentre}: LeaseKey, message: Message): boolean {
 		const keeper = this.#ports.findKeeper(target, dataCentre);
 		return keeper !== undefined && this.#ports.sendToHost(keeper, message);
 	}
--- a/packages/slots/src/exchange.fixture.ts
+++ b/packages/slots/src/exchange.fixture.ts
@@ -6,7 +6,7 @@
 import {type JobDemand, type UsableSlot} from '@gentianshift/jobs';
 import {type Message} from '@gentianshift/protocol';
 import {type Executor} from '@gentianshift/resources';
-import {leaseRenewMs, leaseTermMs, type SlotPorts} from './ports.js';
+import {leaseRenewIntervalMs, leaseTermMs, type SlotPorts} from './ports.js';
 import {SlotExchange} from './slot-exchange.js';
 
 const executor: Executor = {
@@ -22,7 +22,7 @@
 export function openExchange(context: TestContext, keeper = 'mieres_m1') {
 	context.mock.timers.enable({apis: ['setInterval', 'setTimeout']});
 	const clock = {now: 1000};
-	const news = {isLeaving: false};
+	const executorState = {isLeaving: false};
 	const sent: Message[] = [];
 	const starts: Array<{slot: UsableSlot; at: number}> = [];
 	const ports: SlotPorts = {
@@ -39,8 +39,8 @@
 		findKeeper: () => keeper,
 		listExecutors: () => [executor],
 		listDataCentres: () => ['mieres'],
-		findActive: () => (news.isLeaving ? undefined : executor),
-		isLeaving: () => news.isLeaving,
+		findActive: () => (executorState.isLeaving ? undefined : executor),
+		isLeaving: () => executorState.isLeaving,
 		listShares: () => new Map(),
 		listPeers: () => [],
 		log() {
@@ -80,12 +80,12 @@
 
 	/** Has the host read the change, sent during the pause, that the executor is leaving. */
 	const readLeaving = () => {
-		news.isLeaving = true;
+		executorState.isLeaving = true;
 		exchange.refresh();
 	};
 
 	const fireTimers = () => {
-		context.mock.timers.tick(leaseRenewMs);
+		context.mock.timers.tick(leaseRenewIntervalMs);
 	};
 
 	return {starts, sent, clock, submit, freeze, readLeaving, fireTimers};
--- a/packages/slots/src/keeper.test.ts
+++ b/packages/slots/src/keeper.test.ts
@@ -50,11 +50,11 @@
 	context.after(() => {
 		keeper.stop();
 	});
-	const take = <T extends Message['t']>(t: T) =>
+	const takeSent = <T extends Message['t']>(t: T) =>
 		sent
 			.splice(0)
 			.filter((message): message is MessageOf<T> => message.t === t);
-	return {keeper, clock, take};
+	return {keeper, clock, takeSent};
 }
 
 const demand: MessageOf<'demand'> = {
@@ -74,7 +74,7 @@
 // process held.
 for (const order of ['session lost first', 'new process first']) {
 	test(`slots of a host's previous process are lent again once its tasks should have ended (${order})`, async (context) => {
-		const {keeper, clock, take} = openKeeper(context);
+		const {keeper, clock, takeSent} = openKeeper(context);
 		const steps = [
 			() => {
 				keeper.dropOwner('mieres_m2.a', 'mieres_m2');
@@ -86,7 +86,7 @@
 		keeper.noteOwner('mieres_m2.a', 'mieres_m2');
 		keeper.receiveDemand('mieres_m2.a', demand);
 		await nextTurn();
-		assert.equal(take('grant')[0]!.slots.length, 3);
+		assert.equal(takeSent('grant')[0]!.slots.length, 3);
 		for (const step of order === 'session lost first'
 			? steps
 			: steps.toReversed()) {
@@ -98,17 +98,17 @@
 		clock.now += 700;
 		keeper.refreshResources();
 		await nextTurn();
-		assert.equal(take('grant')[0]?.slots.length, 3);
+		assert.equal(takeSent('grant')[0]?.slots.length, 3);
 	});
 }
 
 test('slots lent to another data centre are reported free again after their return', async (context) => {
 	// The other keeper subtracts the slots that it requests. If it is never sent the same number of free
 	// slots again, it leaves these slots idle while its own jobs wait.
-	const {keeper, clock, take} = openKeeper(context);
+	const {keeper, clock, takeSent} = openKeeper(context);
 	await nextTurn();
 	assert.deepEqual(
-		take('keeper-state').map(({free}) => free),
+		takeSent('keeper-state').map(({free}) => free),
 		[3],
 	);
 	keeper.receiveShift('langreo_l1.b', {
@@ -118,7 +118,7 @@
 		demand,
 		count: 3,
 	});
-	const [grant] = take('grant');
+	const [grant] = takeSent('grant');
 	clock.now += 100;
 	keeper.receiveRelease({
 		t: 'release',
@@ -127,7 +127,7 @@
 	});
 	await nextTurn();
 	assert.deepEqual(
-		take('keeper-state').map(({free}) => free),
+		takeSent('keeper-state').map(({free}) => free),
 		[3],
 	);
 });
--- a/packages/slots/src/keeper.ts
+++ b/packages/slots/src/keeper.ts
@@ -15,25 +15,25 @@
 	type LendingDecisions,
 } from '@gentianshift/decisions';
 import {type MessageOf} from '@gentianshift/protocol';
-import {runAfterReading} from './after-next-poll.js';
+import {runAfterNextPoll} from './after-next-poll.js';
 import {leaseTermMs, type SlotPorts} from './ports.js';
 
 /** Shortest interval in milliseconds between state messages to other data centres after a relevant change. */
-const stateEveryMs = 5;
+const minStateIntervalMs = 5;
 
 /** Number of free slots that another data centre's keeper last reported, less those requested since. */
-type Remote = {free: number};
+type RemoteCapacity = {free: number};
 
 export class Keeper {
 	readonly target: string;
 	readonly #ports: SlotPorts;
 	readonly #term: number;
 	readonly #lender;
-	readonly #remotes = new Map<string, Remote>();
-	readonly #awaited: Set<string>;
+	readonly #remoteCapacities = new Map<string, RemoteCapacity>();
+	readonly #unansweredPeers: Set<string>;
 	readonly #startedAt: number;
-	/** Owner ID of the process that each host last sent from, by host key. */
-	readonly #processes = new Map<string, string>();
+	/** Owner ID of the latest process known for each host, by host key. */
+	readonly #currentOwners = new Map<string, string>();
 	/** Owner IDs, by host key, of lost processes whose slots are quarantined because they may still start tasks. */
 	readonly #lostOwners = new Map<string, string>();
 	#recoveryTimer: NodeJS.Timeout | undefined;
@@ -41,12 +41,12 @@
 	#timerAt = Infinity;
 	#isScheduled = false;
 	#isStopped = false;
-	#isHungry = false;
+	#hasQueuedTasks = false;
 	/** Owner IDs of the borrowers whose last message from this keeper said that no tasks are queued. */
-	readonly #sated = new Set<string>();
-	#toldFree = -1;
-	#toldAt = 0;
-	/** Time of the next state message, if a change came too soon after the last one; else infinite. */
+	readonly #unawareOfQueue = new Set<string>();
+	#sentFree = -1;
+	#stateSentAt = 0;
+	/** Time of the next state message, if a change occurred too soon after the last one; else infinite. */
 	#stateDueAt = Infinity;
 
 	constructor(target: string, ports: SlotPorts) {
@@ -55,7 +55,7 @@
 		// A random range of slot numbers, so that they differ from the previous keeper's, whose slots are taken over.
 		this.#term = Math.floor(ports.random() * 2 ** 40);
 		this.#lender = createLender({firstSlot: this.#term, leaseMs: leaseTermMs});
-		this.#awaited = new Set(ports.listPeers());
+		this.#unansweredPeers = new Set(ports.listPeers());
 		this.#startedAt = ports.now();
 		this.refreshResources();
 		this.#startRecovery();
@@ -108,8 +108,8 @@
 			this.#lender.report(slot, {result, runMs}, this.#ports.now());
 		}
 
-		runAfterReading(() => {
-			this.#answerLease(ownerId, message.sequence);
+		runAfterNextPoll(() => {
+			this.#answerLeaseRequest(ownerId, message.sequence);
 		});
 	}
 
@@ -120,8 +120,9 @@
 		const grants = this.#lender.shiftIn(demand, message.count, now);
 		this.#sendGrants(message.owner, grants);
 		const {free} = this.#lender.readState(now);
-		// The requesting keeper now has this figure. Slots returned later then count as a change, so they are reported to it.
-		this.#toldFree = free;
+		// The requesting keeper continues from this figure. Without this line, a return to the figure sent
+		// before would not count as a change and would not be sent to it.
+		this.#sentFree = free;
 		this.#ports.sendToOwner(senderId, {
 			t: 'shifted',
 			target: this.target,
@@ -137,7 +138,7 @@
 	}
 
 	receiveShifted(dataCentre: string, message: MessageOf<'shifted'>): void {
-		this.#noteRemote(dataCentre, message.free);
+		this.#setRemoteFree(dataCentre, message.free);
 		this.#lender.settleShift(message.owner, message.job, {
 			asked: message.count,
 			granted: message.granted,
@@ -147,7 +148,7 @@
 	}
 
 	receiveState(message: MessageOf<'keeper-state'>): void {
-		this.#noteRemote(message.dataCentre, message.free);
+		this.#setRemoteFree(message.dataCentre, message.free);
 		this.#schedule();
 	}
 
@@ -158,17 +159,20 @@
 		message: MessageOf<'held'>,
 	): void {
 		this.#lender.restoreSlots(ownerId, message.slots, this.#ports.now());
-		this.#awaited.delete(hostKey);
-		if (this.#awaited.size === 0) {
+		this.#unansweredPeers.delete(hostKey);
+		if (this.#unansweredPeers.size === 0) {
 			this.#finishRecovery();
 		}
 	}
 
 	/** Must be called when an owner's process or connection is lost: the owner's slots are quarantined. */
 	dropOwner(ownerId: string, hostKey: string): void {
-		this.#sated.delete(ownerId);
+		this.#unawareOfQueue.delete(ownerId);
 		this.#quarantine(ownerId, hostKey);
-		if (this.#awaited.delete(hostKey) && this.#awaited.size === 0) {
+		if (
+			this.#unansweredPeers.delete(hostKey) &&
+			this.#unansweredPeers.size === 0
+		) {
 			this.#finishRecovery();
 		}
 
@@ -180,16 +184,16 @@
 	its lease any more, so the quarantine of that process's slots need not last for the lease term.
 	*/
 	noteOwner(ownerId: string, hostKey: string): void {
-		this.#processes.set(hostKey, ownerId);
-		const lost = this.#lostOwners.get(hostKey);
-		if (lost === undefined || lost === ownerId) {
+		this.#currentOwners.set(hostKey, ownerId);
+		const lostOwnerId = this.#lostOwners.get(hostKey);
+		if (lostOwnerId === undefined || lostOwnerId === ownerId) {
 			return;
 		}
 
 		this.#lostOwners.delete(hostKey);
-		this.#lender.noteGone(lost);
+		this.#lender.noteGone(lostOwnerId);
 		this.#writeLog('a lost owner is gone: its host runs another process', {
-			owner: lost,
+			owner: lostOwnerId,
 			successor: ownerId,
 		});
 		this.#schedule();
@@ -212,8 +216,8 @@
 	}
 
 	#quarantine(ownerId: string, hostKey: string): void {
-		const process = this.#processes.get(hostKey);
-		const isGone = process !== undefined && process !== ownerId;
+		const currentOwner = this.#currentOwners.get(hostKey);
+		const isGone = currentOwner !== undefined && currentOwner !== ownerId;
 		const {slots, forMs} = this.#lender.dropOwner(
 			ownerId,
 			this.#ports.now(),
@@ -238,14 +242,14 @@
 	#startRecovery(): void {
 		this.#lender.startRecovery(this.#ports.now());
 		this.#writeLog('keeper starts: asking hosts which slots they hold', {
-			hosts: this.#awaited.size,
+			hosts: this.#unansweredPeers.size,
 		});
 		const {dataCentre, sendToHost} = this.#ports;
-		for (const peer of this.#awaited) {
+		for (const peer of this.#unansweredPeers) {
 			sendToHost(peer, {t: 'ask-held', target: this.target, dataCentre});
 		}
 
-		if (this.#awaited.size === 0) {
+		if (this.#unansweredPeers.size === 0) {
 			this.#finishRecovery();
 			return;
 		}
@@ -259,7 +263,7 @@
 		clearTimeout(this.#recoveryTimer);
 		this.#writeLog('keeper lends', {
 			waitedMs: Math.round(this.#ports.now() - this.#startedAt),
-			unanswered: [...this.#awaited],
+			unanswered: [...this.#unansweredPeers],
 		});
 		this.#lender.finishRecovery(this.#ports.now());
 		this.#schedule();
@@ -286,8 +290,8 @@
 		const now = this.#ports.now();
 		this.#lender.setRemoteFree(this.#countRemoteFree());
 		this.#carryOut(this.#lender.decide(now), now);
-		this.#updateHunger(now);
-		this.#tellState(now);
+		this.#updateHasQueuedTasks(now);
+		this.#sendState(now);
 		this.#setTimer(now);
 	}
 
@@ -314,7 +318,7 @@
 		}
 
 		for (const {owner, job, count} of shortages) {
-			this.#shift(owner, job, count, now);
+			this.#sendShift(owner, job, count, now);
 		}
 	}
 
@@ -332,7 +336,7 @@
 			!this.#ports.sendToOwner(owner, {
 				t: 'grant',
 				target: this.target,
-				isHungry: this.#tellHunger(owner),
+				isHungry: this.#recordQueueNotice(owner),
 				slots,
 			})
 		) {
@@ -346,7 +350,7 @@
 		}
 	}
 
-	#answerLease(ownerId: string, sequence: number): void {
+	#answerLeaseRequest(ownerId: string, sequence: number): void {
 		if (this.#isStopped) {
 			return;
 		}
@@ -357,7 +361,7 @@
 			sequence,
 			term: this.#term,
 			leaving: this.#listLeaving(),
-			isHungry: this.#tellHunger(ownerId),
+			isHungry: this.#recordQueueNotice(ownerId),
 		});
 	}
 
@@ -365,9 +369,9 @@
 	Requests slots from the data centre with the most free slots known here. A data centre that has none,
 	or can't be reached, isn't asked again until its keeper reports free slots.
 	*/
-	#shift(owner: string, job: number, count: number, now: number): void {
+	#sendShift(owner: string, job: number, count: number, now: number): void {
 		const demand = this.#lender.readDemand(owner, job);
-		const best = this.#findFreest();
+		const best = this.#findMostFree();
 		if (!demand || !best) {
 			return;
 		}
@@ -393,9 +397,9 @@
 		}
 	}
 
-	#findFreest(): [string, Remote] | undefined {
-		let best: [string, Remote] | undefined;
-		for (const entry of this.#remotes) {
+	#findMostFree(): [string, RemoteCapacity] | undefined {
+		let best: [string, RemoteCapacity] | undefined;
+		for (const entry of this.#remoteCapacities) {
 			if (entry[1].free > (best?.[1].free ?? 0)) {
 				best = entry;
 			}
@@ -406,36 +410,39 @@
 
 	#countRemoteFree(): number {
 		let sum = 0;
-		for (const remote of this.#remotes.values()) {
+		for (const remote of this.#remoteCapacities.values()) {
 			sum += remote.free;
 		}
 
 		return sum;
 	}
 
-	#noteRemote(dataCentre: string, free: number): void {
-		this.#remotes.set(dataCentre, {free});
+	#setRemoteFree(dataCentre: string, free: number): void {
+		this.#remoteCapacities.set(dataCentre, {free});
 	}
 
 	/**
 	Sends the number of free slots to the other data centres' keepers: soon when it becomes zero or
 	ceases to be, or has changed by more than an eighth of all slots; else after a quarter of a lease term.
 	*/
-	#tellState(now: number): void {
+	#sendState(now: number): void {
 		const {free, slots, queuedWorkMs} = this.#lender.readState(now);
-		const isNews =
-			free > 0 !== this.#toldFree > 0 ||
-			Math.abs(free - this.#toldFree) > slots / 8;
+		const isRelevantChange =
+			free > 0 !== this.#sentFree > 0 ||
+			Math.abs(free - this.#sentFree) > slots / 8;
 		const isDue =
-			now - this.#toldAt > (isNews ? stateEveryMs : leaseTermMs / 4);
+			now - this.#stateSentAt >
+			(isRelevantChange ? minStateIntervalMs : leaseTermMs / 4);
 		this.#stateDueAt =
-			isNews && !isDue ? this.#toldAt + stateEveryMs : Infinity;
-		if (!isDue || free === this.#toldFree) {
+			isRelevantChange && !isDue
+				? this.#stateSentAt + minStateIntervalMs
+				: Infinity;
+		if (!isDue || free === this.#sentFree) {
 			return;
 		}
 
-		this.#toldFree = free;
-		this.#toldAt = now;
+		this.#sentFree = free;
+		this.#stateSentAt = now;
 		const {dataCentre, listDataCentres, findKeeper, sendToHost} = this.#ports;
 		for (const other of listDataCentres(this.target)) {
 			const keeper =
@@ -454,26 +461,26 @@
 	}
 
 	/** Informs borrowers as soon as tasks are queued, so that they stop buffering the slots they return. */
-	#updateHunger(now: number): void {
-		this.#isHungry = this.#lender.readState(now).queuedTasks > 0;
-		if (!this.#isHungry) {
+	#updateHasQueuedTasks(now: number): void {
+		this.#hasQueuedTasks = this.#lender.readState(now).queuedTasks > 0;
+		if (!this.#hasQueuedTasks) {
 			return;
 		}
 
-		for (const owner of this.#sated) {
+		for (const owner of this.#unawareOfQueue) {
 			this.#ports.sendToOwner(owner, {t: 'hunger', target: this.target});
 		}
 
-		this.#sated.clear();
+		this.#unawareOfQueue.clear();
 	}
 
 	/** Returns the `isHungry` value for a message to a borrower (whether tasks are queued) and records that it is sent. */
-	#tellHunger(owner: string): boolean {
-		if (!this.#isHungry) {
-			this.#sated.add(owner);
+	#recordQueueNotice(owner: string): boolean {
+		if (!this.#hasQueuedTasks) {
+			this.#unawareOfQueue.add(owner);
 		}
 
-		return this.#isHungry;
+		return this.#hasQueuedTasks;
 	}
 
 	#setTimer(now: number): void {
--- a/packages/slots/src/lease-table.ts
+++ b/packages/slots/src/lease-table.ts
@@ -3,21 +3,21 @@
 */
 import {Lease} from './lease.js';
 
-export type Place = {target: string; dataCentre: string};
+export type LeaseKey = {target: string; dataCentre: string};
 
-type Entry = Place & {lease: Lease};
+type Entry = LeaseKey & {lease: Lease};
 
-export class LeaseBook {
+export class LeaseTable {
 	readonly #entries = new Map<string, Entry>();
 
-	get(place: Place): Lease | undefined {
-		return this.#entries.get(formatPlace(place))?.lease;
+	get(leaseKey: LeaseKey): Lease | undefined {
+		return this.#entries.get(formatLeaseKey(leaseKey))?.lease;
 	}
 
-	open(place: Place, keeper: string | undefined): Lease {
+	open(leaseKey: LeaseKey, keeper: string | undefined): Lease {
 		const lease = new Lease();
 		lease.changeKeeper(keeper);
-		this.#entries.set(formatPlace(place), {...place, lease});
+		this.#entries.set(formatLeaseKey(leaseKey), {...leaseKey, lease});
 		return lease;
 	}
 
@@ -26,17 +26,17 @@
 	}
 
 	/** Leases of a target that one keeper grants: usually one. */
-	listWith(keeper: string, target: string): Entry[] {
+	listByKeeper(keeper: string, target: string): Entry[] {
 		return this.list().filter(
 			(entry) => entry.lease.keeper === keeper && entry.target === target,
 		);
 	}
 
-	delete(place: Place): void {
-		this.#entries.delete(formatPlace(place));
+	delete(leaseKey: LeaseKey): void {
+		this.#entries.delete(formatLeaseKey(leaseKey));
 	}
 }
 
-export function formatPlace({target, dataCentre}: Place): string {
+export function formatLeaseKey({target, dataCentre}: LeaseKey): string {
 	return `${target}/${dataCentre}`;
 }
--- a/packages/slots/src/lease.ts
+++ b/packages/slots/src/lease.ts
@@ -10,7 +10,7 @@
 import {leaseTermMs} from './ports.js';
 
 /** Time in milliseconds after which an unanswered request no longer holds back the next one. */
-const answerMs = 50;
+const answerTimeoutMs = 50;
 
 export class Lease {
 	/** Host key of the keeper that grants this lease. */
@@ -21,31 +21,31 @@
 	Whether tasks are queued at the keeper (`isHungry` in its messages): if so, slots are returned
 	without buffering.
 	*/
-	isHungry = true;
+	hasQueuedTasks = true;
 	/** Whether the list of slots that this host holds has been sent to this keeper. */
-	isTold = false;
-	#until = -Infinity;
+	hasSentHeldSlots = false;
+	#validUntil = -Infinity;
 	#sequence = 0;
 	#term: number | undefined;
-	readonly #askedAt = new Map<number, number>();
+	readonly #requestTimes = new Map<number, number>();
 
 	/** Switches to another keeper. The lease granted by the previous keeper is no longer valid. */
 	changeKeeper(keeper: string | undefined): void {
 		this.keeper = keeper;
-		this.isTold = false;
-		this.isHungry = true;
-		this.#until = -Infinity;
+		this.hasSentHeldSlots = false;
+		this.hasQueuedTasks = true;
+		this.#validUntil = -Infinity;
 		this.#term = undefined;
-		this.#askedAt.clear();
+		this.#requestTimes.clear();
 	}
 
 	/** Records a lease request sent at `now` and returns the sequence number to send with it. */
-	ask(now: number): number {
+	recordRequest(now: number): number {
 		this.#sequence += 1;
-		this.#askedAt.set(this.#sequence, now);
-		for (const [sequence, askedAt] of this.#askedAt) {
-			if (now - askedAt > leaseTermMs) {
-				this.#askedAt.delete(sequence);
+		this.#requestTimes.set(this.#sequence, now);
+		for (const [sequence, requestedAt] of this.#requestTimes) {
+			if (now - requestedAt > leaseTermMs) {
+				this.#requestTimes.delete(sequence);
 			}
 		}
 
@@ -58,10 +58,10 @@
 	held slots and its demands again.
 	*/
 	extend(sequence: number, term: number, leaving: readonly string[]): boolean {
-		const askedAt = this.#askedAt.get(sequence);
-		if (askedAt !== undefined) {
-			this.#askedAt.delete(sequence);
-			this.#until = Math.max(this.#until, askedAt + leaseTermMs);
+		const requestedAt = this.#requestTimes.get(sequence);
+		if (requestedAt !== undefined) {
+			this.#requestTimes.delete(sequence);
+			this.#validUntil = Math.max(this.#validUntil, requestedAt + leaseTermMs);
 			this.leaving = new Set(leaving);
 		}
 
@@ -71,13 +71,13 @@
 	}
 
 	/** Whether a recent request is still unanswered. */
-	isAwaited(now: number): boolean {
-		return [...this.#askedAt.values()].some(
-			(askedAt) => now - askedAt < answerMs,
+	hasPendingRequest(now: number): boolean {
+		return [...this.#requestTimes.values()].some(
+			(requestedAt) => now - requestedAt < answerTimeoutMs,
 		);
 	}
 
 	isValid(now: number): boolean {
-		return now < this.#until;
+		return now < this.#validUntil;
 	}
 }
--- a/packages/slots/src/own-view-source.ts
+++ b/packages/slots/src/own-view-source.ts
@@ -22,7 +22,7 @@
 ) => ExecutorView | undefined;
 
 /** Time in milliseconds before the next slots are granted after an executor has refused a task. */
-const refusedPauseMs = 5;
+const refusalPauseMs = 5;
 
 export type OwnViewOptions = {
 	pick: PickExecutor;
@@ -70,7 +70,7 @@
 		outstanding.set(executor.address, countOutstanding(executor) + change);
 	}
 
-	function schedulePass(pauseMs: number): void {
+	function scheduleGrants(pauseMs: number): void {
 		if (isScheduled) {
 			return;
 		}
@@ -78,7 +78,7 @@
 		isScheduled = true;
 		setTimeout(() => {
 			isScheduled = false;
-			grantAll();
+			grantFreeSlots();
 		}, pauseMs);
 	}
 
@@ -90,7 +90,7 @@
 	}
 
 	/** Grants free slots to jobs in the order of their first demand. */
-	function grantAll(): void {
+	function grantFreeSlots(): void {
 		for (const demand of waiting.values()) {
 			grantJob(demand);
 		}
@@ -120,7 +120,7 @@
 			keep: () => false,
 			release(outcome: SlotOutcome) {
 				changeOutstanding(executor, -1);
-				schedulePass(outcome.result === 'refused' ? refusedPauseMs : 0);
+				scheduleGrants(outcome.result === 'refused' ? refusalPauseMs : 0);
 			},
 		};
 	}
@@ -128,7 +128,7 @@
 	return {
 		demandSlots(demand) {
 			waiting.set(demand.job, demand);
-			schedulePass(0);
+			scheduleGrants(0);
 		},
 		withdrawDemand(job) {
 			waiting.delete(job);
--- a/packages/slots/src/ports.ts
+++ b/packages/slots/src/ports.ts
@@ -46,4 +46,4 @@
 export const leaseTermMs = 1000;
 
 /** Interval in milliseconds between lease requests: short enough that one lost message doesn't end the lease. */
-export const leaseRenewMs = 350;
+export const leaseRenewIntervalMs = 350;
--- a/packages/slots/src/release-buffer.ts
+++ b/packages/slots/src/release-buffer.ts
@@ -3,52 +3,54 @@
 */
 import {type SlotOutcome} from '@gentianshift/decisions';
 import {type MessageOf} from '@gentianshift/protocol';
-import {formatPlace, type Place} from './lease-table.js';
+import {formatLeaseKey, type LeaseKey} from './lease-table.js';
 
 /**
 Time in milliseconds that releases are buffered while no tasks are queued at the keeper. The last tasks
 of a job end over hundreds of milliseconds, and without buffering each would cost a message. A job
 that arrives in this time gets the buffered slots later by at most this time, a twentieth of a task.
 */
-const gatherMs = 10;
+const bufferMs = 10;
 
-type Gathered = {place: Place; message: MessageOf<'release'>};
+type BufferedRelease = {leaseKey: LeaseKey; message: MessageOf<'release'>};
 
-export class Releases {
-	readonly #send: (place: Place, message: MessageOf<'release'>) => void;
-	#gathered = new Map<string, Gathered>();
-	#isFlushing = false;
+export class ReleaseBuffer {
+	readonly #send: (leaseKey: LeaseKey, message: MessageOf<'release'>) => void;
+	#buffered = new Map<string, BufferedRelease>();
+	#isFlushScheduled = false;
 	#timer: NodeJS.Timeout | undefined;
 
-	constructor(send: (place: Place, message: MessageOf<'release'>) => void) {
+	constructor(
+		send: (leaseKey: LeaseKey, message: MessageOf<'release'>) => void,
+	) {
 		this.#send = send;
 	}
 
 	/** Buffers a slot. If tasks are queued at the keeper, the buffer is sent at the end of this event loop turn. */
 	add(
-		{target, dataCentre}: Place,
-		{slot, isHungry}: {slot: number; isHungry: boolean},
+		{target, dataCentre}: LeaseKey,
+		{slot, hasQueuedTasks}: {slot: number; hasQueuedTasks: boolean},
 		outcome: SlotOutcome,
 	): void {
-		const place = {target, dataCentre};
-		const key = formatPlace(place);
-		const gathered = this.#gathered.get(key) ?? {
-			place,
+		const leaseKey = {target, dataCentre};
+		const key = formatLeaseKey(leaseKey);
+		const release = this.#buffered.get(key) ?? {
+			leaseKey,
 			message: {t: 'release', target, slots: []},
 		};
-		gathered.message.slots.push({slot, ...outcome});
-		this.#gathered.set(key, gathered);
-		this.#schedule(isHungry);
+		release.message.slots.push({slot, ...outcome});
+		this.#buffered.set(key, release);
+		this.#schedule(hasQueuedTasks);
 	}
 
 	/** Sends all buffered releases, in one message for each keeper. */
 	flush(): void {
 		this.stop();
-		this.#isFlushing = false;
-		const gathered = this.#gathered;
-		this.#gathered = new Map();
-		for (const {place, message} of gathered.values()) {
-			this.#send(place, message);
+		this.#isFlushScheduled = false;
+		const buffered = this.#buffered;
+		this.#buffered = new Map();
+		for (const {leaseKey, message} of buffered.values()) {
+			this.#send(leaseKey, message);
 		}
 	}
 
@@ -57,9 +59,9 @@
 		this.#timer = undefined;
 	}
 
-	#schedule(isHungry: boolean): void {
-		if (isHungry && !this.#isFlushing) {
-			this.#isFlushing = true;
+	#schedule(hasQueuedTasks: boolean): void {
+		if (hasQueuedTasks && !this.#isFlushScheduled) {
+			this.#isFlushScheduled = true;
 			setImmediate(() => {
 				this.flush();
 			});
@@ -67,6 +69,6 @@
 
 		this.#timer ??= setTimeout(() => {
 			this.flush();
-		}, gatherMs);
+		}, bufferMs);
 	}
 }
--- a/packages/slots/src/slot-exchange.ts
+++ b/packages/slots/src/slot-exchange.ts
@@ -26,11 +26,11 @@
 			...ports,
 			sendToHost: (hostKey, message) =>
 				hostKey === ports.hostKey
-					? this.#deliverHere(message)
+					? this.#deliverToSelf(message)
 					: ports.sendToHost(hostKey, message),
 			sendToOwner: (ownerId, message) =>
 				ownerId === ports.ownerId
-					? this.#replyHere(message)
+					? this.#replyToSelf(message)
 					: ports.sendToOwner(ownerId, message),
 		};
 	}
@@ -43,13 +43,13 @@
 	/** Must be called when hosts or resources have changed: starts and stops keepers to match this host's roles. */
 	refresh(): void {
 		const {dataCentre, findKeeper, hostKey} = this.#ports;
-		const mine = new Set(
+		const ownTargets = new Set(
 			this.#listTargets().filter(
 				(target) => findKeeper(target, dataCentre) === hostKey,
 			),
 		);
 		for (const [target, keeper] of this.#keepers) {
-			if (mine.has(target)) {
+			if (ownTargets.has(target)) {
 				keeper.refreshResources();
 			} else {
 				keeper.stop();
@@ -57,7 +57,7 @@
 			}
 		}
 
-		for (const target of mine) {
+		for (const target of ownTargets) {
 			if (!this.#keepers.has(target)) {
 				this.#keepers.set(target, new Keeper(target, this.#ports));
 			}
@@ -157,12 +157,12 @@
 		this.#ports.sendToOwner(ownerId, {t: 'held', target, dataCentre, slots});
 	}
 
-	#deliverHere(message: Message): boolean {
+	#deliverToSelf(message: Message): boolean {
 		const {ownerId, hostKey} = this.#ports;
 		return this.receiveRequest({ownerId, hostKey}, message);
 	}
 
-	#replyHere(message: Message): boolean {
+	#replyToSelf(message: Message): boolean {
 		const {ownerId, hostKey, dataCentre} = this.#ports;
 		return this.receiveReply({ownerId, hostKey, dataCentre}, message);
 	}
