--- a/packages/slots/src/borrower.ts
+++ b/packages/slots/src/borrower.ts
@@ -1,6 +1,6 @@
 /**
-The borrowing side: tells keepers what this host's jobs want, and hands granted slots to the
-jobs' owner under a lease.
+The borrowing side: sends the demands of this host's jobs to the keepers, and passes granted slots
+on to the jobs. A slot is usable only while this host holds a lease from the keeper.
 */
 import {type SlotOutcome} from '@gentianshift/decisions';
 import {
@@ -16,77 +16,78 @@
 } from '@gentianshift/protocol';
 import {type Executor} from '@gentianshift/resources';
 import {type Lease} from './lease.js';
-import {formatPlace, LeaseBook, type Place} from './lease-book.js';
-import {leaseRenewMs, type SlotPorts} from './ports.js';
-import {Releases} from './releases.js';
+import {formatLeaseKey, LeaseTable, type LeaseKey} from './lease-table.js';
+import {leaseRenewIntervalMs, type SlotPorts} from './ports.js';
+import {ReleaseBuffer} from './release-buffer.js';
 
-/** A job's demand is told anew when its remaining work fell by this part: it ranks by it. */
-const tellFraction = 0.1;
+/** A job's demand is sent again when its remaining work has fallen by this fraction, because the keeper ranks jobs by remaining work. */
+const demandUpdateFraction = 0.1;
 
-/** A slot that can't be used yet (lease or executor not known here) is given back after this, milliseconds. */
-const holdMs = 100;
+/** Time in milliseconds after which a slot is returned if it is still unusable: no valid lease, or the executor isn't known here yet. */
+const pendingSlotTimeoutMs = 100;
 
-/** Each so many requests a lease carries all that is held, so that a lost release is found. */
-const listEvery = 8;
+/** Every so many lease requests, the full list of held slots is sent, so that the keeper detects a lost release. */
+const requestsPerHeldList = 8;
 
-/** How often a waiting job's demand is told although nothing changed, milliseconds. */
-const repeatMs = 1000;
+/** Interval in milliseconds at which the demand of a waiting job is sent again although it hasn't changed. */
+const demandRepeatMs = 1000;
 
 type BorrowingJob = {
 	demand: JobDemand;
-	home: string;
-	/** Slots granted since the demand was first told. */
+	/** Data centre to whose keeper the demand is sent. */
+	homeDataCentre: string;
+	/** Number of slots granted since the demand was first sent. */
 	granted: number;
 	isAdmitted: boolean;
-	toldRemaining: number;
-	toldAt: number;
+	sentRemaining: number;
+	demandSentAt: number;
 };
 
-type HeldSlot = LentSlot & Place & {isRecalled: boolean};
+type HeldSlot = LentSlot & LeaseKey & {isRecalled: boolean};
 
 export class Borrower implements SlotSource {
 	readonly #ports: SlotPorts;
 	readonly #handlers: SlotHandlers;
 	readonly #jobs = new Map<number, BorrowingJob>();
-	readonly #held = new Map<number, HeldSlot>();
-	readonly #leases = new LeaseBook();
-	readonly #releases: Releases;
-	/** Granted, and not usable yet. */
-	readonly #pending = new Map<number, {slot: HeldSlot; until: number}>();
-	/** Tasks that ended on slots kept, by place: they go with the next lease. */
+	readonly #heldSlots = new Map<number, HeldSlot>();
+	readonly #leases = new LeaseTable();
+	readonly #releases: ReleaseBuffer;
+	/** Granted slots that aren't usable yet, by slot number, with the time at which they are returned. */
+	readonly #pendingSlots = new Map<number, {slot: HeldSlot; until: number}>();
+	/** Outcomes of tasks whose slots were kept, by target and data centre. They are sent with the next lease request. */
 	readonly #reports = new Map<string, MessageOf<'lease'>['reports']>();
 	readonly #timer: NodeJS.Timeout;
 
 	constructor(ports: SlotPorts, handlers: SlotHandlers) {
 		this.#ports = ports;
 		this.#handlers = handlers;
-		this.#releases = new Releases((place, message) => {
-			this.#sendToKeeper(place, message);
+		this.#releases = new ReleaseBuffer((leaseKey, message) => {
+			this.#sendToKeeper(leaseKey, message);
 		});
 		this.#timer = setInterval(() => {
 			this.#renewLeases();
-		}, leaseRenewMs);
+		}, leaseRenewIntervalMs);
 	}
 
 	demandSlots(demand: JobDemand): void {
 		const known = this.#jobs.get(demand.job);
 		if (known) {
 			known.demand = demand;
-			this.#tellDemand(known);
+			this.#sendDemand(known);
 			return;
 		}
 
 		const job = {
 			demand,
-			home: this.#chooseHome(demand.target),
+			homeDataCentre: this.#chooseHomeDataCentre(demand.target),
 			granted: 0,
 			isAdmitted: demand.hasStarted,
-			toldRemaining: demand.remaining,
-			toldAt: 0,
+			sentRemaining: demand.remaining,
+			demandSentAt: 0,
 		};
 		this.#openLeases(demand.target);
 		this.#jobs.set(demand.job, job);
-		this.#tellDemand(job);
+		this.#sendDemand(job);
 	}
 
 	withdrawDemand(number: number): void {
@@ -98,15 +99,15 @@
 		this.#jobs.delete(number);
 		const {target} = job.demand;
 		this.#sendToKeeper(
-			{target, dataCentre: job.home},
+			{target, dataCentre: job.homeDataCentre},
 			{t: 'withdraw', target, job: number},
 		);
 	}
 
 	receiveGrant(keeper: string, message: MessageOf<'grant'>): void {
-		this.#noteHunger(keeper, message.target, message.isHungry);
+		this.#setHasQueuedTasks(keeper, message.target, message.isHungry);
 		for (const lent of message.slots) {
-			this.#takeSlot(keeper, message.target, lent);
+			this.#acceptSlot(keeper, message.target, lent);
 		}
 	}
 
@@ -121,58 +122,61 @@
 
 	receiveRecall(message: MessageOf<'recall'>): void {
 		for (const number of message.slots) {
-			const slot = this.#held.get(number);
+			const slot = this.#heldSlots.get(number);
 			if (slot) {
 				slot.isRecalled = true;
 			}
 		}
 	}
 
-	/** Work has begun to wait at a keeper: what was gathered for it goes back now. */
+	/** Handles `hunger`, which a keeper sends when tasks begin to queue there: buffered releases are sent at once. */
 	receiveHunger(keeper: string, message: MessageOf<'hunger'>): void {
-		this.#noteHunger(keeper, message.target, true);
+		this.#setHasQueuedTasks(keeper, message.target, true);
 		this.#releases.flush();
 	}
 
 	receiveLeased(keeper: string, message: MessageOf<'leased'>): void {
-		this.#noteHunger(keeper, message.target, message.isHungry);
+		this.#setHasQueuedTasks(keeper, message.target, message.isHungry);
 		const {sequence, term, leaving} = message;
-		for (const {lease, ...place} of this.#leases.listWith(
+		for (const {lease, ...leaseKey} of this.#leases.listByKeeper(
 			keeper,
 			message.target,
 		)) {
 			if (!lease.extend(sequence, term, leaving)) {
-				this.#tellAgain(place, lease);
-				this.#renewLease(place, lease);
+				this.#startResync(leaseKey, lease);
+				this.#renewLease(leaseKey, lease);
 			}
 		}
 
-		this.#usePending();
+		this.#handOverPending();
 	}
 
-	/** What this host holds of a target in a data centre, for its keeper. */
-	listHeld({target, dataCentre}: Place): LentSlot[] {
-		return [...this.#held.values()]
+	/** Slots of a target in a data centre that this host holds, as reported to the keeper. */
+	listHeld({target, dataCentre}: LeaseKey): LentSlot[] {
+		return [...this.#heldSlots.values()]
 			.filter(
 				(slot) => slot.target === target && slot.dataCentre === dataCentre,
 			)
 			.map(({executor, slot, job}) => ({executor, slot, job}));
 	}
 
-	/** Hosts or resources changed: keepers may be others now. */
+	/** Must be called when hosts or resources have changed: the keepers may have changed with them. */
 	refreshKeepers(): void {
-		for (const {lease, ...place} of this.#leases.list()) {
-			const keeper = this.#ports.findKeeper(place.target, place.dataCentre);
+		for (const {lease, ...leaseKey} of this.#leases.list()) {
+			const keeper = this.#ports.findKeeper(
+				leaseKey.target,
+				leaseKey.dataCentre,
+			);
 			if (keeper !== lease.keeper) {
 				lease.changeKeeper(keeper);
-				this.#renewLease(place, lease);
+				this.#renewLease(leaseKey, lease);
 			}
 		}
 
-		this.#moveHomeless();
+		this.#moveOrphanedJobs();
 	}
 
-	/** The link to a host is up or down: what its keeper knew of this host is gone. */
+	/** Must be called when the link to a host goes up or down: that host's keepers have lost their state about this host. */
 	resetKeeper(hostKey: string): void {
 		for (const {lease} of this.#leases.list()) {
 			if (lease.keeper === hostKey) {
@@ -188,71 +192,81 @@
 		clearInterval(this.#timer);
 	}
 
-	#noteHunger(keeper: string, target: string, isHungry: boolean): void {
-		for (const {lease} of this.#leases.listWith(keeper, target)) {
-			lease.isHungry = isHungry;
+	#setHasQueuedTasks(
+		keeper: string,
+		target: string,
+		hasQueuedTasks: boolean,
+	): void {
+		for (const {lease} of this.#leases.listByKeeper(keeper, target)) {
+			lease.hasQueuedTasks = hasQueuedTasks;
 		}
 	}
 
 	/**
-	The own data centre where it serves the target, else the one with the most executors. One
-	without a live keeper serves nobody: its only host may be stopping, or have died.
+	Chooses this host's own data centre if it serves the target, else the one with the most executors.
+	A data centre without a live keeper is passed over, because nobody lends its slots: its only host
+	may be stopping or may have died.
 	*/
-	#chooseHome(target: string): string {
-		const places = this.#ports
+	#chooseHomeDataCentre(target: string): string {
+		const candidates = this.#ports
 			.listDataCentres(target)
-			.filter((place) => this.#ports.findKeeper(target, place) !== undefined);
+			.filter(
+				(candidate) => this.#ports.findKeeper(target, candidate) !== undefined,
+			);
 		const {dataCentre} = this.#ports;
-		if (places.length === 0 || places.includes(dataCentre)) {
+		if (candidates.length === 0 || candidates.includes(dataCentre)) {
 			return dataCentre;
 		}
 
-		const count = (place: string) =>
-			this.#ports.listExecutors(target, place).length;
-		return [...places].toSorted((a, b) => count(b) - count(a))[0]!;
+		const count = (candidate: string) =>
+			this.#ports.listExecutors(target, candidate).length;
+		return [...candidates].toSorted((a, b) => count(b) - count(a))[0]!;
 	}
 
-	/** Jobs whose home has no keeper any more wait at another data centre's. */
-	#moveHomeless(): void {
+	/** Moves the demand of each job whose data centre has lost its keeper to another data centre's keeper. */
+	#moveOrphanedJobs(): void {
 		for (const job of this.#jobs.values()) {
 			const {target} = job.demand;
-			if (this.#ports.findKeeper(target, job.home) !== undefined) {
+			if (this.#ports.findKeeper(target, job.homeDataCentre) !== undefined) {
 				continue;
 			}
 
-			const home = this.#chooseHome(target);
-			if (home !== job.home) {
-				job.home = home;
+			const homeDataCentre = this.#chooseHomeDataCentre(target);
+			if (homeDataCentre !== job.homeDataCentre) {
+				job.homeDataCentre = homeDataCentre;
 				this.#openLeases(target);
-				this.#tellDemand(job);
+				this.#sendDemand(job);
 			}
 		}
 	}
 
 	/**
-	With a request goes each waiting job's demand. Sent for each new job until the first answer, that
-	would take seconds of the loop where hundreds come at once to a host on which a thousand wait.
+	Requests a lease from each of the target's keepers, unless a lease is valid or a request is pending.
+	A request for a lease that isn't valid is sent along with the demand of every waiting job. If each
+	new job sent one until the first answer, the event loop would be blocked for seconds when hundreds
+	of jobs arrive at once on a host where a thousand wait.
 	*/
 	#openLeases(target: string): void {
 		const now = this.#ports.now();
 		for (const dataCentre of this.#ports.listDataCentres(target)) {
-			const place = {target, dataCentre};
+			const leaseKey = {target, dataCentre};
 			const keeper = this.#ports.findKeeper(target, dataCentre);
-			const lease = this.#leases.get(place) ?? this.#leases.open(place, keeper);
-			if (!lease.isValid(now) && !lease.isAwaited(now)) {
-				this.#renewLease(place, lease);
+			const lease =
+				this.#leases.get(leaseKey) ?? this.#leases.open(leaseKey, keeper);
+			if (!lease.isValid(now) && !lease.hasPendingRequest(now)) {
+				this.#renewLease(leaseKey, lease);
 			}
 		}
 	}
 
-	#tellDemand(job: BorrowingJob): void {
+	#sendDemand(job: BorrowingJob): void {
 		const {demand} = job;
 		const {target, queued, ...rest} = demand;
 		const now = this.#ports.now();
-		job.toldRemaining = demand.remaining;
-		job.toldAt = now;
-		const place = {target, dataCentre: job.home};
-		this.#sendToKeeper(place, {
+		job.sentRemaining = demand.remaining;
+		job.demandSentAt = now;
+		const leaseKey = {target, dataCentre: job.homeDataCentre};
+		this.#sendToKeeper(leaseKey, {
 			t: 'demand',
 			target,
 			job: rest.job,
@@ -271,39 +285,42 @@
 
 	#countPending({demand}: BorrowingJob): number {
 		let count = 0;
-		for (const {slot} of this.#pending.values()) {
+		for (const {slot} of this.#pendingSlots.values()) {
 			count += Number(slot.job === demand.job);
 		}
 
 		return count;
 	}
 
-	#countHeldElsewhere({demand, home}: BorrowingJob): number {
+	#countHeldElsewhere({demand, homeDataCentre}: BorrowingJob): number {
 		let count = 0;
-		for (const slot of this.#held.values()) {
-			count += Number(slot.job === demand.job && slot.dataCentre !== home);
+		for (const slot of this.#heldSlots.values()) {
+			count += Number(
+				slot.job === demand.job && slot.dataCentre !== homeDataCentre,
+			);
 		}
 
 		return count;
 	}
 
-	#retellDemands({target, dataCentre}: Place): void {
+	#sendWaitingDemands({target, dataCentre}: LeaseKey): void {
 		for (const job of this.#jobs.values()) {
 			if (
 				job.demand.target === target &&
-				job.home === dataCentre &&
+				job.homeDataCentre === dataCentre &&
 				job.demand.queued > 0
 			) {
-				this.#tellDemand(job);
+				this.#sendDemand(job);
 			}
 		}
 	}
 
-	#takeSlot(keeper: string, target: string, lent: LentSlot): void {
+	#acceptSlot(keeper: string, target: string, lent: LentSlot): void {
 		const executor = this.#ports.findActive(target, lent.executor);
-		const dataCentre = executor?.dataCentre ?? this.#findPlace(target, keeper);
+		const dataCentre =
+			executor?.dataCentre ?? this.#findDataCentre(target, keeper);
 		const slot: HeldSlot = {...lent, target, dataCentre, isRecalled: false};
-		this.#held.set(lent.slot, slot);
+		this.#heldSlots.set(lent.slot, slot);
 		const job = this.#jobs.get(lent.job);
 		if (job) {
 			job.granted += 1;
@@ -313,29 +330,32 @@
 		if (this.#isUsable(slot)) {
 			this.#handOver(slot, executor!);
 		} else {
-			this.#pending.set(slot.slot, {slot, until: this.#ports.now() + holdMs});
+			this.#pendingSlots.set(slot.slot, {
+				slot,
+				until: this.#ports.now() + pendingSlotTimeoutMs,
+			});
 			setTimeout(() => {
-				this.#usePending();
-			}, holdMs + 1);
+				this.#handOverPending();
+			}, pendingSlotTimeoutMs + 1);
 		}
 	}
 
-	#findPlace(target: string, keeper: string): string {
-		const [entry] = this.#leases.listWith(keeper, target);
+	#findDataCentre(target: string, keeper: string): string {
+		const [entry] = this.#leases.listByKeeper(keeper, target);
 		return entry?.dataCentre ?? this.#ports.dataCentre;
 	}
 
-	#usePending(): void {
+	#handOverPending(): void {
 		const now = this.#ports.now();
-		for (const {slot, until} of this.#pending.values()) {
+		for (const {slot, until} of this.#pendingSlots.values()) {
 			const executor = this.#ports.findActive(slot.target, slot.executor);
 			if (executor && this.#isUsable(slot)) {
-				this.#pending.delete(slot.slot);
+				this.#pendingSlots.delete(slot.slot);
 				this.#handOver(slot, executor);
 			} else if (now >= until) {
-				this.#pending.delete(slot.slot);
+				this.#pendingSlots.delete(slot.slot);
 				this.#release(slot, {result: 'unused', runMs: 0});
-				this.#askAgain(slot.job);
+				this.#sendDemandOf(slot.job);
 			}
 		}
 	}
@@ -343,7 +363,7 @@
 	#handOver(slot: HeldSlot, executor: Executor): void {
 		this.#handlers.onSlot(slot.job, this.#createUsable(slot, executor));
 		const job = this.#jobs.get(slot.job);
-		if (job && this.#held.has(slot.slot)) {
+		if (job && this.#heldSlots.has(slot.slot)) {
 			job.demand = {...job.demand, queued: job.demand.queued - 1};
 		}
 	}
@@ -376,7 +396,7 @@
 	): boolean {
 		const job = this.#jobs.get(slot.job);
 		if (job) {
-			// One of those queued starts on this slot right away, if it is kept.
+			// If the slot is kept, one of the queued tasks starts on it right away.
 			job.demand = {
 				...job.demand,
 				...left,
@@ -388,23 +408,26 @@
 			return false;
 		}
 
-		this.#report(slot, outcome);
-		if (job && left.remaining <= job.toldRemaining * (1 - tellFraction)) {
-			this.#tellDemand(job);
+		this.#addReport(slot, outcome);
+		if (
+			job &&
+			left.remaining <= job.sentRemaining * (1 - demandUpdateFraction)
+		) {
+			this.#sendDemand(job);
 		}
 
 		return true;
 	}
 
-	#report(slot: HeldSlot, outcome: SlotOutcome): void {
-		const key = formatPlace(slot);
+	#addReport(slot: HeldSlot, outcome: SlotOutcome): void {
+		const key = formatLeaseKey(slot);
 		const reports = this.#reports.get(key) ?? [];
 		reports.push({slot: slot.slot, ...outcome});
 		this.#reports.set(key, reports);
 	}
 
 	#release(slot: HeldSlot, outcome: SlotOutcome): void {
-		if (!this.#held.delete(slot.slot)) {
+		if (!this.#heldSlots.delete(slot.slot)) {
 			return;
 		}
 
@@ -412,48 +435,49 @@
 			this.#ports.countWasted('unused-grant');
 		}
 
-		const isHungry = this.#leases.get(slot)?.isHungry ?? true;
-		this.#releases.add(slot, {slot: slot.slot, isHungry}, outcome);
+		const hasQueuedTasks = this.#leases.get(slot)?.hasQueuedTasks ?? true;
+		this.#releases.add(slot, {slot: slot.slot, hasQueuedTasks}, outcome);
 	}
 
-	/** A slot of this job came to nothing: it wants another one. */
-	#askAgain(number: number): void {
+	/** Asks for another slot for a job, because a granted one was returned unused. */
+	#sendDemandOf(number: number): void {
 		const job = this.#jobs.get(number);
 		if (job) {
-			this.#tellDemand(job);
+			this.#sendDemand(job);
 		}
 	}
 
 	#renewLeases(): void {
 		this.refreshKeepers();
-		for (const {lease, ...place} of this.#leases.list()) {
-			if (this.#isLeaseNeeded(place.target)) {
-				this.#renewLease(place, lease);
+		for (const {lease, ...leaseKey} of this.#leases.list()) {
+			if (this.#isLeaseNeeded(leaseKey.target)) {
+				this.#renewLease(leaseKey, lease);
 			} else {
-				this.#leases.delete(place);
+				this.#leases.delete(leaseKey);
 			}
 		}
 
 		this.#repeatDemands();
 	}
 
-	/** A waiting job's demand is told now and then, so that a lost grant is found. */
+	/** Sends the demands of waiting jobs again at intervals, so that the keeper detects a lost grant. */
 	#repeatDemands(): void {
 		const now = this.#ports.now();
 		for (const job of this.#jobs.values()) {
-			if (job.demand.queued > 0 && now - job.toldAt > repeatMs) {
-				this.#tellDemand(job);
+			if (job.demand.queued > 0 && now - job.demandSentAt > demandRepeatMs) {
+				this.#sendDemand(job);
 			}
 		}
 	}
 
 	/**
-	A keeper that doesn't answer may not hold the role yet by its own view, and have dropped what
-	it was told: it is told again with each request until it answers.
+	Sends the demands again, and has the next lease request list the held slots. A host that doesn't
+	answer may not know yet that it is the keeper, and may have dropped earlier messages, so this is
+	repeated with each request until it answers.
 	*/
-	#tellAgain(place: Place, lease: Lease): void {
-		lease.isTold = false;
-		this.#retellDemands(place);
+	#startResync(leaseKey: LeaseKey, lease: Lease): void {
+		lease.hasSentHeldSlots = false;
+		this.#sendWaitingDemands(leaseKey);
 	}
 
 	#isLeaseNeeded(target: string): boolean {
@@ -463,7 +487,7 @@
 			}
 		}
 
-		for (const slot of this.#held.values()) {
+		for (const slot of this.#heldSlots.values()) {
 			if (slot.target === target) {
 				return true;
 			}
@@ -472,28 +496,29 @@
 		return false;
 	}
 
-	#renewLease(place: Place, lease: Lease): void {
+	#renewLease(leaseKey: LeaseKey, lease: Lease): void {
 		if (!lease.isValid(this.#ports.now())) {
-			this.#tellAgain(place, lease);
+			this.#startResync(leaseKey, lease);
 		}
 
-		const key = formatPlace(place);
-		const sequence = lease.ask(this.#ports.now());
-		const isListed = !lease.isTold || sequence % listEvery === 0;
+		const key = formatLeaseKey(leaseKey);
+		const sequence = lease.recordRequest(this.#ports.now());
+		const isListed =
+			!lease.hasSentHeldSlots || sequence % requestsPerHeldList === 0;
 		const message: MessageOf<'lease'> = {
 			t: 'lease',
-			target: place.target,
+			target: leaseKey.target,
 			sequence,
-			held: isListed ? this.listHeld(place) : undefined,
+			held: isListed ? this.listHeld(leaseKey) : undefined,
 			reports: this.#reports.get(key) ?? [],
 		};
-		if (this.#sendToKeeper(place, message)) {
-			lease.isTold = true;
+		if (this.#sendToKeeper(leaseKey, message)) {
+			lease.hasSentHeldSlots = true;
 			this.#reports.delete(key);
 		}
 	}
 
-	#sendToKeeper({target, dataCentre}: Place, message: Message): boolean {
+	#sendToKeeper({target, dataCentre}: LeaseKey, message: Message): boolean {
 		const keeper = this.#ports.findKeeper(target, dataCentre);
 		return keeper !== undefined && this.#ports.sendToHost(keeper, message);
 	}
--- a/packages/slots/src/exchange.fixture.ts
+++ b/packages/slots/src/exchange.fixture.ts
@@ -1,12 +1,12 @@
 /**
-The slots of one host with everything around them replaced by what a test sets or keeps.
+A slot exchange of one host. Its ports are replaced by values that the test sets and by records of what is sent.
 */
 import assert from 'node:assert/strict';
 import {type TestContext} from 'node:test';
 import {type JobDemand, type UsableSlot} from '@gentianshift/jobs';
 import {type Message} from '@gentianshift/protocol';
 import {type Executor} from '@gentianshift/resources';
-import {leaseRenewMs, leaseTermMs, type SlotPorts} from './ports.js';
+import {leaseRenewIntervalMs, leaseTermMs, type SlotPorts} from './ports.js';
 import {SlotExchange} from './slot-exchange.js';
 
 const executor: Executor = {
@@ -18,11 +18,11 @@
 	state: 'active',
 };
 
-/** A host and the slots that `keeper`, else itself, lends it as the only borrower; its timers fire when a test says so. */
+/** Opens a host's slot exchange. `keeper`, by default the host itself, lends to this host alone. Timers fire only by `fireTimers`. */
 export function openExchange(context: TestContext, keeper = 'mieres_m1') {
 	context.mock.timers.enable({apis: ['setInterval', 'setTimeout']});
 	const clock = {now: 1000};
-	const news = {isLeaving: false};
+	const executorState = {isLeaving: false};
 	const sent: Message[] = [];
 	const starts: Array<{slot: UsableSlot; at: number}> = [];
 	const ports: SlotPorts = {
@@ -39,15 +39,15 @@
 		findKeeper: () => keeper,
 		listExecutors: () => [executor],
 		listDataCentres: () => ['mieres'],
-		findActive: () => (news.isLeaving ? undefined : executor),
-		isLeaving: () => news.isLeaving,
+		findActive: () => (executorState.isLeaving ? undefined : executor),
+		isLeaving: () => executorState.isLeaving,
 		listShares: () => new Map(),
 		listPeers: () => [],
 		log() {
-			// Not read.
+			// These tests don't check log lines.
 		},
 		countWasted() {
-			// Not of interest here.
+			// These tests don't check this count.
 		},
 	};
 	const exchange = new SlotExchange({ports, listTargets: () => ['kitchens']});
@@ -60,7 +60,9 @@
 			}
 		},
 		onRefusal() {
-			assert.fail('there is room and time');
+			assert.fail(
+				'a job was refused although slots are free and its deadline is far off',
+			);
 		},
 	});
 	exchange.refresh();
@@ -71,19 +73,19 @@
 		source.demandSlots(makeDemand(job, queued, clock.now));
 	};
 
-	/** The host is frozen for longer than its leases; its clock goes on. */
+	/** Freezes the host for longer than a lease term: its clock advances, and nothing runs. */
 	const freeze = () => {
 		clock.now += 4 * leaseTermMs;
 	};
 
-	/** The change that was sent during the pause is read. */
+	/** Has the host read the change, sent during the pause, that the executor is leaving. */
 	const readLeaving = () => {
-		news.isLeaving = true;
+		executorState.isLeaving = true;
 		exchange.refresh();
 	};
 
 	const fireTimers = () => {
-		context.mock.timers.tick(leaseRenewMs);
+		context.mock.timers.tick(leaseRenewIntervalMs);
 	};
 
 	return {starts, sent, clock, submit, freeze, readLeaving, fireTimers};
--- a/packages/slots/src/keeper.test.ts
+++ b/packages/slots/src/keeper.test.ts
@@ -15,7 +15,7 @@
 	state: 'active',
 };
 
-/** A keeper alone in its data centre, on a clock that a test sets; all it sends is kept. */
+/** Opens a keeper on the only host of its data centre, with a clock that the test sets, and records all messages it sends. */
 function openKeeper(context: TestContext) {
 	const clock = {now: 1000};
 	const sent: Message[] = [];
@@ -40,21 +40,21 @@
 		listShares: () => new Map(),
 		listPeers: () => [],
 		log() {
-			// Not read.
+			// These tests don't check log lines.
 		},
 		countWasted() {
-			// Not of interest here.
+			// These tests don't check this count.
 		},
 	};
 	const keeper = new Keeper('kitchens', ports);
 	context.after(() => {
 		keeper.stop();
 	});
-	const take = <T extends Message['t']>(t: T) =>
+	const takeSent = <T extends Message['t']>(t: T) =>
 		sent
 			.splice(0)
 			.filter((message): message is MessageOf<T> => message.t === t);
-	return {keeper, clock, take};
+	return {keeper, clock, takeSent};
 }
 
 const demand: MessageOf<'demand'> = {
@@ -70,10 +70,11 @@
 	waitedMs: 0,
 };
 
-// Guards against a restarted host whose callers wait a lease term for the slots of the process before.
-for (const order of ['dropped first', 'heard first']) {
-	test(`slots of a former process of a host wait only for its tasks (${order})`, async (context) => {
-		const {keeper, clock, take} = openKeeper(context);
+// Otherwise the callers of a restarted host would wait a whole lease term for the slots that its previous
+// process held.
+for (const order of ['session lost first', 'new process first']) {
+	test(`slots of a host's previous process are lent again once its tasks should have ended (${order})`, async (context) => {
+		const {keeper, clock, takeSent} = openKeeper(context);
 		const steps = [
 			() => {
 				keeper.dropOwner('mieres_m2.a', 'mieres_m2');
@@ -85,27 +86,29 @@
 		keeper.noteOwner('mieres_m2.a', 'mieres_m2');
 		keeper.receiveDemand('mieres_m2.a', demand);
 		await nextTurn();
-		assert.equal(take('grant')[0]!.slots.length, 3);
-		for (const step of order === 'dropped first' ? steps : steps.toReversed()) {
+		assert.equal(takeSent('grant')[0]!.slots.length, 3);
+		for (const step of order === 'session lost first'
+			? steps
+			: steps.toReversed()) {
 			step();
 		}
 
 		keeper.receiveDemand('mieres_m2.b', demand);
-		// Tasks of 100 ms, nearly all of which end in a few times that.
+		// Tasks take 100 ms, and nearly all end within a few times that.
 		clock.now += 700;
 		keeper.refreshResources();
 		await nextTurn();
-		assert.equal(take('grant')[0]?.slots.length, 3);
+		assert.equal(takeSent('grant')[0]?.slots.length, 3);
 	});
 }
 
-test('slots lent to another data centre are told as free again when they are back', async (context) => {
-	// The other keeper counts what it asks for as gone. If it never hears that the same number is
-	// free again, it leaves these slots idle while its own jobs wait.
-	const {keeper, clock, take} = openKeeper(context);
+test('slots lent to another data centre are reported free again after their return', async (context) => {
+	// The other keeper subtracts the slots that it requests. If it is never sent the same number of free
+	// slots again, it leaves these slots idle while its own jobs wait.
+	const {keeper, clock, takeSent} = openKeeper(context);
 	await nextTurn();
 	assert.deepEqual(
-		take('keeper-state').map(({free}) => free),
+		takeSent('keeper-state').map(({free}) => free),
 		[3],
 	);
 	keeper.receiveShift('langreo_l1.b', {
@@ -115,7 +118,7 @@
 		demand,
 		count: 3,
 	});
-	const [grant] = take('grant');
+	const [grant] = takeSent('grant');
 	clock.now += 100;
 	keeper.receiveRelease({
 		t: 'release',
@@ -124,7 +127,7 @@
 	});
 	await nextTurn();
 	assert.deepEqual(
-		take('keeper-state').map(({free}) => free),
+		takeSent('keeper-state').map(({free}) => free),
 		[3],
 	);
 });
--- a/packages/slots/src/keeper.ts
+++ b/packages/slots/src/keeper.ts
@@ -1,11 +1,12 @@
 /**
-The keeper of one target's slots in this host's data centre: carries the decisions of the
-decisions package to borrowers and to the keepers of other data centres.
-
-A keeper's state is soft. What goes wrong: the keeper dies, freezes or is cut off, and another
-host takes the role by its own view. Noticed by the borrowers, whose lease lapses within
-`leaseTermMs`. The new keeper lends nothing until every live host has told what it holds, or a
-whole lease term has passed, so that no slot is lent twice beyond that overlap.
+The keeper of one target's slots in this host's data centre. It sends the lending decisions, which the
+decisions package makes, to borrowers and to the keepers of other data centres.
+
+A keeper's state is held in memory only. If the keeper dies, freezes or is partitioned, another host
+takes the role as soon as its own view says so. Borrowers detect this because their leases expire
+within `leaseTermMs`. The new keeper lends nothing until every live host has reported the slots that
+it holds, or until a whole lease term has passed. A slot can therefore be lent twice only within that
+overlap.
 */
 import {
 	createLender,
@@ -14,53 +15,53 @@
 	type LendingDecisions,
 } from '@gentianshift/decisions';
 import {type MessageOf} from '@gentianshift/protocol';
-import {runAfterReading} from './after-reading.js';
+import {runAfterNextPoll} from './after-next-poll.js';
 import {leaseTermMs, type SlotPorts} from './ports.js';
 
-/** Soonest that "free" or "none free" is told again to other data centres. */
-const stateEveryMs = 5;
+/** Shortest interval in milliseconds between state messages to other data centres after a relevant change. */
+const minStateIntervalMs = 5;
 
-/** Slots another data centre's keeper last said to have free, less those asked for since. */
-type Remote = {free: number};
+/** Number of free slots that another data centre's keeper last reported, less those requested since. */
+type RemoteCapacity = {free: number};
 
 export class Keeper {
 	readonly target: string;
 	readonly #ports: SlotPorts;
 	readonly #term: number;
 	readonly #lender;
-	readonly #remotes = new Map<string, Remote>();
-	readonly #awaited: Set<string>;
+	readonly #remoteCapacities = new Map<string, RemoteCapacity>();
+	readonly #unansweredPeers: Set<string>;
 	readonly #startedAt: number;
-	/** The process that each host was last heard as. */
-	readonly #processes = new Map<string, string>();
-	/** By host: a process whose slots are kept back as it may still start tasks. */
+	/** Owner ID of the latest process known for each host, by host key. */
+	readonly #currentOwners = new Map<string, string>();
+	/** Owner IDs, by host key, of lost processes whose slots are quarantined because they may still start tasks. */
 	readonly #lostOwners = new Map<string, string>();
 	#recoveryTimer: NodeJS.Timeout | undefined;
 	#timer: NodeJS.Timeout | undefined;
 	#timerAt = Infinity;
 	#isScheduled = false;
 	#isStopped = false;
-	#isHungry = false;
-	/** Borrowers that were last told that nothing waits. */
-	readonly #sated = new Set<string>();
-	#toldFree = -1;
-	#toldAt = 0;
-	/** News that came too soon after what was told last is told then. */
+	#hasQueuedTasks = false;
+	/** Owner IDs of the borrowers whose last message from this keeper said that no tasks are queued. */
+	readonly #unawareOfQueue = new Set<string>();
+	#sentFree = -1;
+	#stateSentAt = 0;
+	/** Time of the next state message, if a change occurred too soon after the last one; else infinite. */
 	#stateDueAt = Infinity;
 
 	constructor(target: string, ports: SlotPorts) {
 		this.target = target;
 		this.#ports = ports;
-		// Numbers of another range than the keeper's before, whose slots are taken over.
+		// A random range of slot numbers, so that they differ from the previous keeper's, whose slots are taken over.
 		this.#term = Math.floor(ports.random() * 2 ** 40);
 		this.#lender = createLender({firstSlot: this.#term, leaseMs: leaseTermMs});
-		this.#awaited = new Set(ports.listPeers());
+		this.#unansweredPeers = new Set(ports.listPeers());
 		this.#startedAt = ports.now();
 		this.refreshResources();
 		this.#startRecovery();
 	}
 
-	/** Executors or teams changed. */
+	/** Must be called when executors or teams have changed. */
 	refreshResources(): void {
 		const {dataCentre, listExecutors, isLeaving, listShares, now} = this.#ports;
 		const executors = listExecutors(this.target, dataCentre).map(
@@ -94,8 +95,9 @@
 	}
 
 	/**
-	The answer waits until all that has come is read. After a pause of this host, that an executor is
-	leaving may lie unread: its owner here, asking by a late timer, would start a task there.
+	Answers only once all input that has arrived is read. After a pause of this host, the message that an
+	executor is leaving may still be unread. If the borrower on this host requested its lease by a
+	delayed timer and got an answer at once, it would start a task on that executor.
 	*/
 	receiveLease(ownerId: string, message: MessageOf<'lease'>): void {
 		if (message.held) {
@@ -106,20 +108,21 @@
 			this.#lender.report(slot, {result, runMs}, this.#ports.now());
 		}
 
-		runAfterReading(() => {
-			this.#answerLease(ownerId, message.sequence);
+		runAfterNextPoll(() => {
+			this.#answerLeaseRequest(ownerId, message.sequence);
 		});
 	}
 
-	/** A keeper of another data centre asks for its owner. */
+	/** Handles a request of another data centre's keeper for slots for one of its borrowers. */
 	receiveShift(senderId: string, message: MessageOf<'shift'>): void {
 		const now = this.#ports.now();
 		const demand = toDemand(message.owner, message.demand);
 		const grants = this.#lender.shiftIn(demand, message.count, now);
 		this.#sendGrants(message.owner, grants);
 		const {free} = this.#lender.readState(now);
-		// The asker goes on from this figure; what comes back must be news to it.
-		this.#toldFree = free;
+		// The requesting keeper continues from this figure. Without this line, a return to the figure sent
+		// before would not count as a change and would not be sent to it.
+		this.#sentFree = free;
 		this.#ports.sendToOwner(senderId, {
 			t: 'shifted',
 			target: this.target,
@@ -135,7 +138,7 @@
 	}
 
 	receiveShifted(dataCentre: string, message: MessageOf<'shifted'>): void {
-		this.#noteRemote(dataCentre, message.free);
+		this.#setRemoteFree(dataCentre, message.free);
 		this.#lender.settleShift(message.owner, message.job, {
 			asked: message.count,
 			granted: message.granted,
@@ -145,28 +148,31 @@
 	}
 
 	receiveState(message: MessageOf<'keeper-state'>): void {
-		this.#noteRemote(message.dataCentre, message.free);
+		this.#setRemoteFree(message.dataCentre, message.free);
 		this.#schedule();
 	}
 
-	/** A host told what it holds, in answer to this keeper's question. */
+	/** Handles a host's list of held slots, its answer to this keeper's `ask-held`. */
 	receiveHeld(
 		ownerId: string,
 		hostKey: string,
 		message: MessageOf<'held'>,
 	): void {
 		this.#lender.restoreSlots(ownerId, message.slots, this.#ports.now());
-		this.#awaited.delete(hostKey);
-		if (this.#awaited.size === 0) {
+		this.#unansweredPeers.delete(hostKey);
+		if (this.#unansweredPeers.size === 0) {
 			this.#finishRecovery();
 		}
 	}
 
-	/** The owner's process is gone, or its connection: its slots are quarantined. */
+	/** Must be called when an owner's process or connection is lost: the owner's slots are quarantined. */
 	dropOwner(ownerId: string, hostKey: string): void {
-		this.#sated.delete(ownerId);
+		this.#unawareOfQueue.delete(ownerId);
 		this.#quarantine(ownerId, hostKey);
-		if (this.#awaited.delete(hostKey) && this.#awaited.size === 0) {
+		if (
+			this.#unansweredPeers.delete(hostKey) &&
+			this.#unansweredPeers.size === 0
+		) {
 			this.#finishRecovery();
 		}
 
@@ -174,20 +180,20 @@
 	}
 
 	/**
-	A host speaks as this process. Another one that it ran before is gone, and starts nothing under its lease any more: its
-	slots are not kept back for that long.
+	Records which process a host runs now. Its previous process has ended and can't start tasks under
+	its lease any more, so the quarantine of that process's slots need not last for the lease term.
 	*/
 	noteOwner(ownerId: string, hostKey: string): void {
-		this.#processes.set(hostKey, ownerId);
-		const lost = this.#lostOwners.get(hostKey);
-		if (lost === undefined || lost === ownerId) {
+		this.#currentOwners.set(hostKey, ownerId);
+		const lostOwnerId = this.#lostOwners.get(hostKey);
+		if (lostOwnerId === undefined || lostOwnerId === ownerId) {
 			return;
 		}
 
 		this.#lostOwners.delete(hostKey);
-		this.#lender.noteGone(lost);
+		this.#lender.noteGone(lostOwnerId);
 		this.#writeLog('a lost owner is gone: its host runs another process', {
-			owner: lost,
+			owner: lostOwnerId,
 			successor: ownerId,
 		});
 		this.#schedule();
@@ -210,8 +216,8 @@
 	}
 
 	#quarantine(ownerId: string, hostKey: string): void {
-		const process = this.#processes.get(hostKey);
-		const isGone = process !== undefined && process !== ownerId;
+		const currentOwner = this.#currentOwners.get(hostKey);
+		const isGone = currentOwner !== undefined && currentOwner !== ownerId;
 		const {slots, forMs} = this.#lender.dropOwner(
 			ownerId,
 			this.#ports.now(),
@@ -235,15 +241,15 @@
 
 	#startRecovery(): void {
 		this.#lender.startRecovery(this.#ports.now());
-		this.#writeLog('keeper begins: asking hosts what they hold', {
-			hosts: this.#awaited.size,
+		this.#writeLog('keeper starts: asking hosts which slots they hold', {
+			hosts: this.#unansweredPeers.size,
 		});
 		const {dataCentre, sendToHost} = this.#ports;
-		for (const peer of this.#awaited) {
+		for (const peer of this.#unansweredPeers) {
 			sendToHost(peer, {t: 'ask-held', target: this.target, dataCentre});
 		}
 
-		if (this.#awaited.size === 0) {
+		if (this.#unansweredPeers.size === 0) {
 			this.#finishRecovery();
 			return;
 		}
@@ -257,13 +263,13 @@
 		clearTimeout(this.#recoveryTimer);
 		this.#writeLog('keeper lends', {
 			waitedMs: Math.round(this.#ports.now() - this.#startedAt),
-			unanswered: [...this.#awaited],
+			unanswered: [...this.#unansweredPeers],
 		});
 		this.#lender.finishRecovery(this.#ports.now());
 		this.#schedule();
 	}
 
-	/** One decision for all messages of a loop turn. */
+	/** Schedules one round of decisions for all messages of an event loop turn. */
 	#schedule(): void {
 		if (this.#isScheduled || this.#isStopped) {
 			return;
@@ -284,8 +290,8 @@
 		const now = this.#ports.now();
 		this.#lender.setRemoteFree(this.#countRemoteFree());
 		this.#carryOut(this.#lender.decide(now), now);
-		this.#updateHunger(now);
-		this.#tellState(now);
+		this.#updateHasQueuedTasks(now);
+		this.#sendState(now);
 		this.#setTimer(now);
 	}
 
@@ -312,7 +318,7 @@
 		}
 
 		for (const {owner, job, count} of shortages) {
-			this.#shift(owner, job, count, now);
+			this.#sendShift(owner, job, count, now);
 		}
 	}
 
@@ -330,7 +336,7 @@
 			!this.#ports.sendToOwner(owner, {
 				t: 'grant',
 				target: this.target,
-				isHungry: this.#tellHunger(owner),
+				isHungry: this.#recordQueueNotice(owner),
 				slots,
 			})
 		) {
@@ -344,7 +350,7 @@
 		}
 	}
 
-	#answerLease(ownerId: string, sequence: number): void {
+	#answerLeaseRequest(ownerId: string, sequence: number): void {
 		if (this.#isStopped) {
 			return;
 		}
@@ -355,14 +361,17 @@
 			sequence,
 			term: this.#term,
 			leaving: this.#listLeaving(),
-			isHungry: this.#tellHunger(ownerId),
+			isHungry: this.#recordQueueNotice(ownerId),
 		});
 	}
 
-	/** Asks the data centre with the most known free slots; at most once in a while where none was. */
-	#shift(owner: string, job: number, count: number, now: number): void {
+	/**
+	Requests slots from the data centre with the most free slots known here. A data centre that has none,
+	or can't be reached, isn't asked again until its keeper reports free slots.
+	*/
+	#sendShift(owner: string, job: number, count: number, now: number): void {
 		const demand = this.#lender.readDemand(owner, job);
-		const best = this.#findFreest();
+		const best = this.#findMostFree();
 		if (!demand || !best) {
 			return;
 		}
@@ -388,9 +397,9 @@
 		}
 	}
 
-	#findFreest(): [string, Remote] | undefined {
-		let best: [string, Remote] | undefined;
-		for (const entry of this.#remotes) {
+	#findMostFree(): [string, RemoteCapacity] | undefined {
+		let best: [string, RemoteCapacity] | undefined;
+		for (const entry of this.#remoteCapacities) {
 			if (entry[1].free > (best?.[1].free ?? 0)) {
 				best = entry;
 			}
@@ -401,33 +410,39 @@
 
 	#countRemoteFree(): number {
 		let sum = 0;
-		for (const remote of this.#remotes.values()) {
+		for (const remote of this.#remoteCapacities.values()) {
 			sum += remote.free;
 		}
 
 		return sum;
 	}
 
-	#noteRemote(dataCentre: string, free: number): void {
-		this.#remotes.set(dataCentre, {free});
+	#setRemoteFree(dataCentre: string, free: number): void {
+		this.#remoteCapacities.set(dataCentre, {free});
 	}
 
-	/** Tells the other data centres' keepers when "free" turns to "none free" or back. */
-	#tellState(now: number): void {
+	/**
+	Sends the number of free slots to the other data centres' keepers: soon when it becomes zero or
+	ceases to be, or has changed by more than an eighth of all slots; else after a quarter of a lease term.
+	*/
+	#sendState(now: number): void {
 		const {free, slots, queuedWorkMs} = this.#lender.readState(now);
-		const isNews =
-			free > 0 !== this.#toldFree > 0 ||
-			Math.abs(free - this.#toldFree) > slots / 8;
+		const isRelevantChange =
+			free > 0 !== this.#sentFree > 0 ||
+			Math.abs(free - this.#sentFree) > slots / 8;
 		const isDue =
-			now - this.#toldAt > (isNews ? stateEveryMs : leaseTermMs / 4);
+			now - this.#stateSentAt >
+			(isRelevantChange ? minStateIntervalMs : leaseTermMs / 4);
 		this.#stateDueAt =
-			isNews && !isDue ? this.#toldAt + stateEveryMs : Infinity;
-		if (!isDue || free === this.#toldFree) {
+			isRelevantChange && !isDue
+				? this.#stateSentAt + minStateIntervalMs
+				: Infinity;
+		if (!isDue || free === this.#sentFree) {
 			return;
 		}
 
-		this.#toldFree = free;
-		this.#toldAt = now;
+		this.#sentFree = free;
+		this.#stateSentAt = now;
 		const {dataCentre, listDataCentres, findKeeper, sendToHost} = this.#ports;
 		for (const other of listDataCentres(this.target)) {
 			const keeper =
@@ -445,27 +460,27 @@
 		}
 	}
 
-	/** Borrowers that gather what they give back must stop as soon as work waits. */
-	#updateHunger(now: number): void {
-		this.#isHungry = this.#lender.readState(now).queuedTasks > 0;
-		if (!this.#isHungry) {
+	/** Informs borrowers as soon as tasks are queued, so that they stop buffering the slots they return. */
+	#updateHasQueuedTasks(now: number): void {
+		this.#hasQueuedTasks = this.#lender.readState(now).queuedTasks > 0;
+		if (!this.#hasQueuedTasks) {
 			return;
 		}
 
-		for (const owner of this.#sated) {
+		for (const owner of this.#unawareOfQueue) {
 			this.#ports.sendToOwner(owner, {t: 'hunger', target: this.target});
 		}
 
-		this.#sated.clear();
+		this.#unawareOfQueue.clear();
 	}
 
-	/** Notes what a borrower is told with a message to it. */
-	#tellHunger(owner: string): boolean {
-		if (!this.#isHungry) {
-			this.#sated.add(owner);
+	/** Returns the `isHungry` value for a message to a borrower (whether tasks are queued) and records that it is sent. */
+	#recordQueueNotice(owner: string): boolean {
+		if (!this.#hasQueuedTasks) {
+			this.#unawareOfQueue.add(owner);
 		}
 
-		return this.#isHungry;
+		return this.#hasQueuedTasks;
 	}
 
 	#setTimer(now: number): void {
--- a/packages/slots/src/lease.ts
+++ b/packages/slots/src/lease.ts
@@ -1,47 +1,51 @@
 /**
-A borrower's lease with the keeper of one target in one data centre. It is counted from when it
-was asked for, by the borrower's own monotonic clock, and read right before each start.
+A borrower's lease with the keeper of one target in one data centre. The lease term is counted from
+the time of the request, by the borrower's own monotonic clock, and is checked right before each
+task start.
 
-What goes wrong: the keeper is frozen or cut off and cannot say that an executor is leaving; or
-this host was paused while its lease ran out. Either way nothing new starts once the term is
-over, at most `leaseTermMs` after the last request that was answered.
+The lease covers two failures: the keeper is frozen or partitioned and cannot report that an executor
+is leaving, or this host was paused while its lease expired. In both cases the borrower starts no task
+after the lease has expired, which is at most `leaseTermMs` after the last request that was answered.
 */
 import {leaseTermMs} from './ports.js';
 
-/** An answer that takes longer than this is no longer waited for before the next request, milliseconds. */
-const answerMs = 50;
+/** Time in milliseconds after which an unanswered request no longer holds back the next one. */
+const answerTimeoutMs = 50;
 
 export class Lease {
-	/** Host key of the keeper it is with. */
+	/** Host key of the keeper that grants this lease. */
 	keeper: string | undefined;
-	/** Executors that the keeper says are leaving. */
+	/** Names of the executors that are leaving, as listed in the keeper's last answer. */
 	leaving: ReadonlySet<string> = new Set();
-	/** Work waits at the keeper: slots go back at once. */
-	isHungry = true;
-	/** Whether this keeper has been told what this host holds. */
-	isTold = false;
-	#until = -Infinity;
+	/**
+	Whether tasks are queued at the keeper (`isHungry` in its messages): if so, slots are returned
+	without buffering.
+	*/
+	hasQueuedTasks = true;
+	/** Whether the list of slots that this host holds has been sent to this keeper. */
+	hasSentHeldSlots = false;
+	#validUntil = -Infinity;
 	#sequence = 0;
 	#term: number | undefined;
-	readonly #askedAt = new Map<number, number>();
+	readonly #requestTimes = new Map<number, number>();
 
-	/** Another keeper: the lease with the one before says nothing any more. */
+	/** Switches to another keeper. The lease granted by the previous keeper is no longer valid. */
 	changeKeeper(keeper: string | undefined): void {
 		this.keeper = keeper;
-		this.isTold = false;
-		this.isHungry = true;
-		this.#until = -Infinity;
+		this.hasSentHeldSlots = false;
+		this.hasQueuedTasks = true;
+		this.#validUntil = -Infinity;
 		this.#term = undefined;
-		this.#askedAt.clear();
+		this.#requestTimes.clear();
 	}
 
-	/** Notes a request; its sequence number goes with it. */
-	ask(now: number): number {
+	/** Records a lease request sent at `now` and returns the sequence number to send with it. */
+	recordRequest(now: number): number {
 		this.#sequence += 1;
-		this.#askedAt.set(this.#sequence, now);
-		for (const [sequence, askedAt] of this.#askedAt) {
-			if (now - askedAt > leaseTermMs) {
-				this.#askedAt.delete(sequence);
+		this.#requestTimes.set(this.#sequence, now);
+		for (const [sequence, requestedAt] of this.#requestTimes) {
+			if (now - requestedAt > leaseTermMs) {
+				this.#requestTimes.delete(sequence);
 			}
 		}
 
@@ -49,14 +53,15 @@
 	}
 
 	/**
-	Extends it by an answer. False when the keeper's term is another than before: it took the
-	role anew and must be told what this host holds and wants.
+	Extends the lease when its keeper has answered a request. Returns false when the keeper's term has
+	changed: the keeper has taken the role anew without its former state, so this host must send its
+	held slots and its demands again.
 	*/
 	extend(sequence: number, term: number, leaving: readonly string[]): boolean {
-		const askedAt = this.#askedAt.get(sequence);
-		if (askedAt !== undefined) {
-			this.#askedAt.delete(sequence);
-			this.#until = Math.max(this.#until, askedAt + leaseTermMs);
+		const requestedAt = this.#requestTimes.get(sequence);
+		if (requestedAt !== undefined) {
+			this.#requestTimes.delete(sequence);
+			this.#validUntil = Math.max(this.#validUntil, requestedAt + leaseTermMs);
 			this.leaving = new Set(leaving);
 		}
 
@@ -65,14 +70,14 @@
 		return isSame;
 	}
 
-	/** Asked for a moment ago, and not answered yet. */
-	isAwaited(now: number): boolean {
-		return [...this.#askedAt.values()].some(
-			(askedAt) => now - askedAt < answerMs,
+	/** Whether a recent request is still unanswered. */
+	hasPendingRequest(now: number): boolean {
+		return [...this.#requestTimes.values()].some(
+			(requestedAt) => now - requestedAt < answerTimeoutMs,
 		);
 	}
 
 	isValid(now: number): boolean {
-		return now < this.#until;
+		return now < this.#validUntil;
 	}
 }
