--- a/packages/bench/src/baseline-host.ts
+++ b/packages/bench/src/baseline-host.ts
@@ -10,15 +10,15 @@
 import {formatFindings} from '@gentianshift/resources';
 import {readHostSettings} from '@gentianshift/settings';
 import {
-	createOwnViewSource,
-	pickLeastOfTwo,
+	createLocalViewSource,
+	pickLessLoadedOfTwo,
 	pickRandom,
 	type PickExecutor,
 } from '@gentianshift/slots';
 
 const policies: Record<string, PickExecutor> = {
 	random: pickRandom,
-	'two-choices': pickLeastOfTwo,
+	'two-choices': pickLessLoadedOfTwo,
 };
 
 async function run(): Promise<void> {
@@ -34,7 +34,7 @@
 
 	const host = await startHost(settings.value, {
 		createSource: (handlers, ports) =>
-			createOwnViewSource({...ports, pick}, handlers),
+			createLocalViewSource({...ports, pick}, handlers),
 	});
 	process.once('SIGTERM', () => {
 		void host.stop().then(() => process.exit(0));
--- a/packages/host/src/mesh-handlers.ts
+++ b/packages/host/src/mesh-handlers.ts
@@ -83,7 +83,7 @@
 		},
 		onSessionUp(session) {
 			sessions.add(session);
-			slots.noteOwner(formatOwnerId(session), session.key);
+			slots.recordOwner(formatOwnerId(session), session.key);
 			directory.markSession(session);
 		},
 		onSessionDown(session) {
--- a/packages/host/src/slot-ports.ts
+++ b/packages/host/src/slot-ports.ts
@@ -48,10 +48,10 @@
 			directory.listHolders(`keeper/${target}`, place)[0],
 		listExecutors: (target, place) => lookup.listExecutors(target, place),
 		listDataCentres: (target) => lookup.listDataCentres(target),
-		findActive: (target, name) => lookup.findActive(target, name),
+		findActiveExecutor: (target, name) => lookup.findActive(target, name),
 		isLeaving: (target, executor) => lookup.isLeaving(target, executor),
 		listShares: (target) => lookup.listShares(target, dataCentre),
-		listPeers: () =>
+		listPeerHosts: () =>
 			getMesh()
 				.listLinks()
 				.map((link) => link.key),
--- a/packages/slots/src/borrower.ts
+++ b/packages/slots/src/borrower.ts
@@ -316,7 +316,7 @@
 	}
 
 	#acceptSlot(keeper: string, target: string, lent: LentSlot): void {
-		const executor = this.#ports.findActive(target, lent.executor);
+		const executor = this.#ports.findActiveExecutor(target, lent.executor);
 		const dataCentre =
 			executor?.dataCentre ?? this.#findDataCentre(target, keeper);
 		const slot: HeldSlot = {...lent, target, dataCentre, isRecalled: false};
@@ -348,7 +348,10 @@
 	#handOverPending(): void {
 		const now = this.#ports.now();
 		for (const {slot, until} of this.#pendingSlots.values()) {
-			const executor = this.#ports.findActive(slot.target, slot.executor);
+			const executor = this.#ports.findActiveExecutor(
+				slot.target,
+				slot.executor,
+			);
 			if (executor && this.#isUsable(slot)) {
 				this.#pendingSlots.delete(slot.slot);
 				this.#handOver(slot, executor);
@@ -385,7 +388,7 @@
 			lease !== undefined &&
 			lease.isValid(this.#ports.now()) &&
 			!lease.leaving.has(slot.executor) &&
-			this.#ports.findActive(slot.target, slot.executor) !== undefined
+			this.#ports.findActiveExecutor(slot.target, slot.executor) !== undefined
 		);
 	}
 
--- a/packages/slots/src/exchange.fixture.ts
+++ b/packages/slots/src/exchange.fixture.ts
@@ -39,10 +39,10 @@
 		findKeeper: () => keeper,
 		listExecutors: () => [executor],
 		listDataCentres: () => ['mieres'],
-		findActive: () => (executorState.isLeaving ? undefined : executor),
+		findActiveExecutor: () => (executorState.isLeaving ? undefined : executor),
 		isLeaving: () => executorState.isLeaving,
 		listShares: () => new Map(),
-		listPeers: () => [],
+		listPeerHosts: () => [],
 		log() {
 			// These tests don't check log lines.
 		},
--- a/packages/slots/src/keeper.test.ts
+++ b/packages/slots/src/keeper.test.ts
@@ -35,10 +35,10 @@
 		findKeeper: (_target, dataCentre) => `${dataCentre}_keeper`,
 		listExecutors: () => [executor],
 		listDataCentres: () => ['mieres', 'langreo'],
-		findActive: () => executor,
+		findActiveExecutor: () => executor,
 		isLeaving: () => false,
 		listShares: () => new Map(),
-		listPeers: () => [],
+		listPeerHosts: () => [],
 		log() {
 			// These tests don't check log lines.
 		},
@@ -80,10 +80,10 @@
 				keeper.dropOwner('mieres_m2.a', 'mieres_m2');
 			},
 			() => {
-				keeper.noteOwner('mieres_m2.b', 'mieres_m2');
+				keeper.recordOwner('mieres_m2.b', 'mieres_m2');
 			},
 		];
-		keeper.noteOwner('mieres_m2.a', 'mieres_m2');
+		keeper.recordOwner('mieres_m2.a', 'mieres_m2');
 		keeper.receiveDemand('mieres_m2.a', demand);
 		await nextTurn();
 		assert.equal(takeSent('grant')[0]!.slots.length, 3);
--- a/packages/slots/src/keeper.ts
+++ b/packages/slots/src/keeper.ts
@@ -55,7 +55,7 @@
 		// A random range of slot numbers, so that they differ from the previous keeper's, whose slots are taken over.
 		this.#term = Math.floor(ports.random() * 2 ** 40);
 		this.#lender = createLender({firstSlot: this.#term, leaseMs: leaseTermMs});
-		this.#unansweredPeers = new Set(ports.listPeers());
+		this.#unansweredPeers = new Set(ports.listPeerHosts());
 		this.#startedAt = ports.now();
 		this.refreshResources();
 		this.#startRecovery();
@@ -183,7 +183,7 @@
 	Records which process a host runs now. Its previous process has ended and can't start tasks under
 	its lease any more, so the quarantine of that process's slots need not last for the lease term.
 	*/
-	noteOwner(ownerId: string, hostKey: string): void {
+	recordOwner(ownerId: string, hostKey: string): void {
 		this.#currentOwners.set(hostKey, ownerId);
 		const lostOwnerId = this.#lostOwners.get(hostKey);
 		if (lostOwnerId === undefined || lostOwnerId === ownerId) {
--- a/packages/slots/src/own-view-source.ts
+++ b/packages/slots/src/local-view-source.ts
@@ -24,7 +24,7 @@
 /** Time in milliseconds before the next slots are granted after an executor has refused a task. */
 const refusalPauseMs = 5;
 
-export type OwnViewOptions = {
+export type LocalViewOptions = {
 	pick: PickExecutor;
 	/** Uniform in [0, 1). */
 	random: () => number;
@@ -41,7 +41,7 @@
 }
 
 /** Picks two executors at random and returns the one with fewer of this host's requests per slot. */
-export function pickLeastOfTwo(
+export function pickLessLoadedOfTwo(
 	views: readonly ExecutorView[],
 	random: () => number,
 ): ExecutorView | undefined {
@@ -55,8 +55,8 @@
 	return load(second) < load(first) ? second : first;
 }
 
-export function createOwnViewSource(
-	options: OwnViewOptions,
+export function createLocalViewSource(
+	options: LocalViewOptions,
 	handlers: SlotHandlers,
 ): SlotSource {
 	const outstanding = new Map<string, number>();
--- a/packages/slots/src/ports.ts
+++ b/packages/slots/src/ports.ts
@@ -30,13 +30,16 @@
 	/** Data centres where the target has executors that accept tasks. */
 	listDataCentres: (target: string) => readonly string[];
 	/** The executor of that name if it accepts tasks; undefined when it is unknown or leaving. */
-	findActive: (target: string, executor: string) => Executor | undefined;
+	findActiveExecutor: (
+		target: string,
+		executor: string,
+	) => Executor | undefined;
 	/** Whether the executor, its target or its worker is leaving. */
 	isLeaving: (target: string, executor: Executor) => boolean;
 	/** Shares by team. Each quota is scaled to this data centre's part of the target's slots. */
 	listShares: (target: string) => ReadonlyMap<string, TeamShare>;
 	/** Host keys of the other live hosts. */
-	listPeers: () => readonly string[];
+	listPeerHosts: () => readonly string[];
 	countWasted: (reason: string, count?: number) => void;
 	/** Writes a log line for each change in the state of a keeper or borrower. */
 	log: (message: string, fields: Record<string, unknown>) => void;
--- a/packages/slots/src/slot-exchange.ts
+++ b/packages/slots/src/slot-exchange.ts
@@ -114,9 +114,9 @@
 	}
 
 	/** Must be called when a process of a host has opened a session to this host. */
-	noteOwner(ownerId: string, hostKey: string): void {
+	recordOwner(ownerId: string, hostKey: string): void {
 		for (const keeper of this.#keepers.values()) {
-			keeper.noteOwner(ownerId, hostKey);
+			keeper.recordOwner(ownerId, hostKey);
 		}
 	}
 
