--- a/packages/configuration/src/exchange.test.ts
+++ b/packages/configuration/src/exchange.test.ts
@@ -24,7 +24,7 @@
 	};
 }
 
-/** Delivers messages both ways until neither side has an answer; returns how many it took. */
+/** Delivers messages both ways until neither side answers; returns the number of messages. */
 function runExchange(a: ResourceTable, b: ResourceTable): number {
 	let delivered = 0;
 	let toB: ExchangeMessage[] = [buildDigest(a)];
@@ -48,16 +48,16 @@
 	assert.deepEqual(a.digest(), b.digest());
 }
 
-test('tables that are equal exchange one digest', () => {
+test('hosts with equal tables exchange a single digest', () => {
 	const [a, b] = [createResourceTable(h64), createResourceTable(h64)];
 	a.apply(buildTeam(1, 5));
 	b.apply(buildTeam(1, 5));
 	assert.equal(runExchange(a, b), 1);
 });
 
-test('a host that starts while the platform is down learns all from a peer', () => {
-	// A new host can't read the store. Without its peers it would know no service, and refuse what
-	// the others take.
+test('a host that starts while the platform is down gets all resources from a peer', () => {
+	// The new host can't read the store. Without its peers it would know no service, and refuse jobs
+	// that the other hosts accept.
 	const [old, fresh] = [createResourceTable(h64), createResourceTable(h64)];
 	for (let i = 0; i < 2000; i++) {
 		old.apply(buildTeam(i, i + 1));
@@ -67,7 +67,7 @@
 	assert.equal(fresh.list('teams').length, 2000);
 });
 
-test('a resource missed earlier is found although the highest revision is the same', () => {
+test('a resource that one host missed is transferred although both have the same highest revision', () => {
 	const [a, b] = [createResourceTable(h64), createResourceTable(h64)];
 	for (let i = 0; i < 1200; i++) {
 		a.apply(buildTeam(i, i + 1));
@@ -80,7 +80,7 @@
 	assert.ok(b.get({kind: 'teams', name: 'team-600'}));
 });
 
-test('each message keeps to its schema and bound', () => {
+test('each message of an answer conforms to its schema and its size limit', () => {
 	const table = createResourceTable(h64);
 	for (let i = 0; i < 1000; i++) {
 		table.apply(buildTeam(i, i + 1));
@@ -126,7 +126,7 @@
 	}),
 );
 
-/** The store's history: each change is an event; a state is what was in force at a revision. */
+/** The store's history: one event a change; the revision of a change is its position in `events`, from 1. */
 function buildHistory() {
 	const events: Resource[] = [];
 	return {
@@ -135,7 +135,7 @@
 			const team = buildTeam(key, events.length + 1, events.length);
 			events.push(isDelete ? {...team, changeId: '', spec: null} : team);
 		},
-		/** Plain deletes leave no key: a snapshot doesn't show them. */
+		/** The store's snapshot at a revision; deleted keys are absent from it. */
 		readAt(revision: number): Resource[] {
 			const state = new Map(
 				events
@@ -186,9 +186,9 @@
 	}
 }
 
-test('whatever comes in whatever order, no resource goes back, and all hosts end the same', () => {
-	// Old watch events, late snapshots and peers that were cut off bring older states. A host that
-	// took one would run a configuration that an operator has replaced, and nobody would notice.
+test('in any order of events, snapshots and exchanges, no resource reverts to an older revision and all tables converge', () => {
+	// Old watch events, late snapshots and peers that were partitioned deliver older revisions. A host that
+	// accepted one would run a configuration that an operator has replaced, and nobody would notice.
 	fc.assert(
 		fc.property(fc.array(stepArbitrary, {maxLength: 80}), (steps) => {
 			const tables = Array.from({length: hostCount}, () =>
--- a/packages/configuration/src/exchange.ts
+++ b/packages/configuration/src/exchange.ts
@@ -1,29 +1,31 @@
 /**
-How two hosts bring their tables together: pure answers to messages.
+Anti-entropy between the resource tables of two hosts. This module does no I/O: it computes the answers to messages.
 
-Readers pass each change on as it comes; this exchange repairs what that missed: hosts that were
-cut off, started during an outage of the platform, or lost a message. Each host sends its digest
-to peers now and then. On a digest that differs:
+Hosts that read the store forward each change to their peers at once. This exchange repairs what that missed: a host
+was partitioned, started during an outage of the platform, or lost a message. Each host periodically sends
+its digest to peers. A host that receives a different digest compares the highest revisions:
 
-1. The peer is behind: it gets what changed since its highest revision. The usual case, cheap.
-2. This host is behind: it answers with its own digest, and so gets the same.
-3. Both know the same highest revision and still differ (one lacks something older): the whole
-   list of revisions goes over, the peer answers with what it has newer and asks for what it lacks.
+1. The peer's is lower: answer with the resources of higher revisions. This is the usual case, and cheap.
+2. The peer's is higher: answer with this host's digest; the peer then handles it by case 1.
+3. They are equal (one side lacks an older resource): answer with the list of all keys and revisions; the
+   peer answers with the resources that it has newer, and requests those that it lacks.
 
-Each message and each answer is bounded; what did not fit goes with a later digest.
+Each message and each answer is bounded in size; the rest follows after a later digest.
 */
 import {resourceSchema, type Resource} from '@gentianshift/resources';
 import {z} from 'zod';
 import {type ResourceTable} from './table.js';
 
-/** Most revisions in one message: about 30 KB. */
+/** Most revisions in one message, which is then about 30 KB long. */
 export const maxRevisionsPerMessage = 500;
 
-/** Most resources in one message, and the size of their JSON that it stops at, characters. */
+/** Most resources in one message. */
 export const maxResourcesPerMessage = 200;
+
+/** Most characters of JSON of the resources in one message; a single larger resource gets a message of its own. */
 export const maxResourceCharacters = 256 * 1024;
 
-/** Most messages of resources in one answer: bounds what one digest can cost. */
+/** Most `config-resources` messages in one answer; bounds the work that one digest can cause. */
 export const maxMessagesPerAnswer = 16;
 
 export const digestMessageSchema = z.object({
@@ -40,8 +42,9 @@
 export const revisionsMessageSchema = z.object({
 	t: z.literal('config-revisions'),
 	/**
-	`range`: all keys from `first` on and below `end` (empty: no end) that the sender holds, sorted.
-	`listed`: the sender asks for these keys only.
+	`range`: `revisions` lists all keys of the sender's table from `first` (inclusive) to `end` (exclusive; empty: no upper
+	bound), sorted. The receiver also sends resources of that range that aren't listed.
+	`listed`: a request for newer revisions of the listed keys only.
 	*/
 	scope: z.enum(['range', 'listed']),
 	first: z.string().max(128).default(''),
@@ -69,7 +72,7 @@
 	return {t: 'config-digest', ...table.digest()};
 }
 
-/** Takes a peer's message into the table and returns what to answer that peer. */
+/** Applies a peer's message to the table and returns the messages to send back to that peer. */
 export function answerExchange(
 	table: ResourceTable,
 	message: ExchangeMessage,
@@ -93,7 +96,7 @@
 	}
 }
 
-/** Puts resources into as few messages as their bounds allow; one alone may be larger. */
+/** Splits resources, in order, into messages within the bounds; a resource larger than the bound goes alone. */
 export function buildResourceMessages(
 	resources: readonly Resource[],
 ): ExchangeMessage[] {
@@ -136,7 +139,7 @@
 		: buildAllRevisions(table);
 }
 
-/** In the order of revisions, so that a peer which got only a part asks on from there. */
+/** Sorted by revision, so that the highest revision of a peer that got only the first messages says where to continue. */
 function buildNewerThan(
 	table: ResourceTable,
 	revision: number,
@@ -199,7 +202,7 @@
 			];
 }
 
-/** The keys that a peer's list is about. */
+/** The keys that a peer's `config-revisions` message covers. */
 function listScope(
 	table: ResourceTable,
 	{scope, first, end, revisions}: RevisionsMessage,
@@ -216,8 +219,8 @@
 }
 
 /**
-The index of the first key that is not below the given one. Halving: a list of many thousand
-keys comes in parts, and going through the whole table for each would stall the loop.
+Index of the first key that is not below the given one, by binary search. A list of many thousand
+keys arrives in many messages; a linear scan of the table for each would block the event loop.
 */
 function findPosition(keys: readonly string[], key: string): number {
 	let low = 0;
@@ -234,7 +237,7 @@
 	return low;
 }
 
-/** 0: unknown. */
+/** 0 if the key is unknown. */
 function readRevision(table: ResourceTable, key: string): number {
 	return table.readEntry(key)?.revision ?? 0;
 }
--- a/packages/configuration/src/table.ts
+++ b/packages/configuration/src/table.ts
@@ -1,10 +1,10 @@
 /**
-The resources in force on this host, merged by revision.
+The resources (configuration) in force on this host, merged by revision.
 
-Resources arrive in any order, more than once, and late: from the store's snapshot, from a watch,
-from peers that were cut off. The one rule that makes all of it safe: a resource is replaced by a
-higher revision only. Deleted ones stay as tombstones, since without them an older copy from a
-peer would look new and bring the deleted resource back.
+Resources arrive out of order, repeatedly and late: from snapshots of the store, from its watch, and
+from peers that were partitioned. The merge is safe because of one invariant: only a higher revision replaces a
+resource. Deleted resources stay as tombstones; without one, an older copy from a peer would count as new and
+restore the deleted resource.
 */
 import {
 	formatKey,
@@ -13,12 +13,12 @@
 	type ResourceKey,
 } from '@gentianshift/resources';
 
-/** Hashes text to 64 bits; `h64` of xxhash-wasm, loaded once by the host. */
+/** Hashes text to an unsigned 64-bit integer: `h64` of xxhash-wasm, which the host loads once. */
 export type Hash64 = (text: string) => bigint;
 
-/** Sums up which revision of each resource a table holds: equal digests, equal tables. */
+/** Identifies the set of keys and revisions in a table: two tables with equal digests hold the same resources. */
 export type Digest = {
-	/** The highest revision of any resource. */
+	/** The highest revision of any resource, tombstones included; 0 in an empty table. */
 	revision: number;
 	/** 16 hexadecimal digits. */
 	hash: string;
@@ -30,23 +30,23 @@
 ) => void;
 
 export type ResourceTable = {
-	/** Takes a resource if it is newer than the one held; tells whether it was. */
+	/** Stores the resource if its revision is higher than that of the stored one; returns whether it was stored. */
 	apply: (resource: Resource) => boolean;
-	/** Takes all resources of the store at one revision: what isn't there was deleted before it. */
+	/** Applies the full content of the store at `storeRevision`. Stored resources of an earlier revision that are absent from it become tombstones. */
 	applySnapshot: (
 		resources: readonly Resource[],
 		storeRevision: number,
 	) => void;
-	/** Undefined: absent or deleted. */
+	/** Undefined if the resource is unknown or deleted. */
 	get: (key: ResourceKey) => Resource | undefined;
-	/** Sorted by name, without deleted ones. */
+	/** Sorted by name, without tombstones. */
 	list: (kind: Kind) => Resource[];
-	/** By key, tombstones included. */
+	/** Finds by formatted key, tombstones included. */
 	readEntry: (key: string) => Resource | undefined;
 	/** All keys, tombstones included, sorted. */
 	listKeys: () => string[];
 	digest: () => Digest;
-	/** Tells of each newer resource, tombstones included; returns what ends it. */
+	/** Calls the listener for each resource that is stored, tombstones included; returns a function that unsubscribes. */
 	subscribe: (listener: ResourceListener) => () => void;
 };
 
@@ -57,7 +57,7 @@
 	const listeners = new Set<ResourceListener>();
 	let maxRevision = 0;
 	let snapshotRevision = 0;
-	// The sum of all entries' hashes: one entry's part is taken out and put in alone.
+	// Sum of all entries' hashes modulo 2^64, so that a changed entry costs one subtraction and one addition.
 	let hash = 0n;
 	let sortedKeys: string[] | undefined;
 
@@ -65,9 +65,9 @@
 		hash64(`${key}@${revision}`);
 
 	/**
-	A key that a whole snapshot did not show, at a revision from before it, was deleted in between.
-	A host that never held the resource has no tombstone of it, and a peer that was cut off could
-	bring it back; the tombstone made here goes to that peer with the next exchange.
+	Turns a resource into a tombstone if its key is unknown here and its revision isn't above the last
+	snapshot's: the snapshot would have shown it, so it was deleted before. A host that never held the resource has no
+	tombstone for it, and a peer that was partitioned could restore it; the next exchange sends this tombstone to that peer.
 	*/
 	function correctDeleted(
 		resource: Resource,
--- a/packages/protocol/src/connection.ts
+++ b/packages/protocol/src/connection.ts
@@ -1,5 +1,6 @@
 /**
-One connection between two hosts: frames, batching, heartbeat bookkeeping.
+One TCP connection between two hosts: framing, batching of sent messages, validation of received ones, and the time
+of the last received bytes, from which the mesh detects silent peers.
 */
 import {type Buffer} from 'node:buffer';
 import {type Socket} from 'node:net';
@@ -7,21 +8,22 @@
 import {encodeFrame, FrameReader} from './frame.js';
 import {messageSchema, type Hello, type Message} from './messages.js';
 
-/** Bytes waiting to be sent on one connection above which the peer counts as stuck. */
+/** A connection with more bytes than this in its send buffer is closed: the peer no longer reads. */
 const maxUnsentBytes = 128 * 1024 * 1024;
 
-/** How long an ended connection may take to close, milliseconds. */
+/** A connection that is closed gracefully is destroyed after this long without activity on its socket. */
 const endLimitMs = 1000;
 
 export type Meter = {
-	/** A frame went out or came in. */
+	/** Called once a frame that was sent, or received and validated. */
 	countFrame: (
 		direction: 'in' | 'out',
 		messages: ReadonlyArray<{t: string}>,
 	) => void;
 	countBytesOut: (bytes: number) => void;
-	/** Bytes came in, of whole frames or parts of them. */
+	/** Called for each chunk received, which may end within a frame. */
 	countBytesIn: (bytes: number) => void;
+	/** `reason`: a code such as `unknown-message` or `no-hello`; the connection is then closed. */
 	countBadFrame: (reason: string) => void;
 };
 
@@ -30,11 +32,11 @@
 	onClose: (reason: string) => void;
 };
 
-/** A framed connection. `send` batches: all messages of one loop turn travel in one frame. */
+/** `send` batches: all messages that are sent in one turn of the event loop go into one frame. */
 export class Connection {
-	/** Set by the first message. */
+	/** The peer's `hello`; undefined until the peer has sent it. */
 	peer: Hello | undefined;
-	/** Monotonic milliseconds. */
+	/** When bytes last arrived, or when the connection was created: `performance.now()`, milliseconds. */
 	lastHeardAt = performance.now();
 	readonly #reader = new FrameReader();
 	#batch: Message[] = [];
@@ -73,7 +75,7 @@
 		this.#batch.push(message);
 	}
 
-	/** Sends what waits, now. */
+	/** Sends the batched messages without waiting for the end of the event-loop turn. */
 	flush(): void {
 		if (this.#closed || this.#batch.length === 0) {
 			return;
@@ -90,7 +92,7 @@
 		}
 	}
 
-	/** Sends what waits, then closes in order: the peer gets all of it. */
+	/** Closes gracefully: sends the batched messages and then FIN, so that the peer can read all of them. */
 	end(): void {
 		this.flush();
 		this.socket.end();
@@ -99,6 +101,7 @@
 		});
 	}
 
+	/** Destroys the socket at once; batched messages are lost. `onClose` is called once, also if `close` is called again. */
 	close(reason: string): void {
 		if (this.#closed) {
 			return;
--- a/packages/protocol/src/frame.test.ts
+++ b/packages/protocol/src/frame.test.ts
@@ -16,7 +16,7 @@
 }
 
 for (const pieceSize of [1, 3, 7, 1000]) {
-	test(`frames come out whole and in order when bytes come ${pieceSize} at a time`, () => {
+	test(`frames are decoded whole and in order from chunks of ${pieceSize} bytes`, () => {
 		const bytes = Buffer.concat([
 			encodeFrame([{t: 'a'}, {t: 'b', n: 1}]),
 			encodeFrame([]),
@@ -30,9 +30,9 @@
 	});
 }
 
-test('a frame longer than the limit is refused by its length alone', () => {
-	// Something that is no host connects and sends text; its first bytes read as a huge length.
-	// A host that waited for that many bytes would run out of memory.
+test('a frame above the size limit is refused by its length prefix, before its body arrives', () => {
+	// A client that isn't a host connects and sends text, whose first bytes decode as a huge length.
+	// A host that buffered that many bytes would run out of memory.
 	const header = Buffer.alloc(4);
 	header.writeUInt32BE(maxFrameBytes + 1);
 	assert.equal(
@@ -42,7 +42,7 @@
 });
 
 for (const body of [Buffer.from([0xff, 0xff, 0xff]), Buffer.from([0x01])]) {
-	test(`a body that is no array of messages (${body.toString('hex')}) is refused`, () => {
+	test(`a frame whose body is not a CBOR array (${body.toString('hex')}) is refused`, () => {
 		const frame = Buffer.concat([Buffer.from([0, 0, 0, body.length]), body]);
 		assert.equal(
 			new FrameReader().readFrames(frame)._unsafeUnwrapErr().code,
--- a/packages/protocol/src/frame.ts
+++ b/packages/protocol/src/frame.ts
@@ -1,11 +1,12 @@
 /**
-Frames on the wire between hosts: a 4-byte big-endian length, then one CBOR array of messages.
+Wire format between hosts: each frame is a 4-byte big-endian length of the body, then the body, one CBOR array
+of messages.
 */
 import {Buffer} from 'node:buffer';
 import {Decoder, Encoder} from 'cbor-x/index-no-eval';
 import {err, ok, type Result} from 'neverthrow';
 
-/** Largest frame, bytes: a forwarded submission or answer at its limit, with room to spare. */
+/** Largest body of a frame. A forwarded submission or answer of the largest permitted size fits with a margin. */
 export const maxFrameBytes = 40 * 1024 * 1024;
 
 const lengthBytes = 4;
@@ -23,7 +24,7 @@
 const encoder = new Encoder(options);
 const decoder = new Decoder(options);
 
-/** Packs one loop turn's messages into one frame. */
+/** Encodes messages as one frame, including its length prefix. */
 export function encodeFrame(messages: readonly unknown[]): Buffer {
 	const body = encoder.encode(messages);
 	const frame = Buffer.allocUnsafe(lengthBytes + body.length);
@@ -33,15 +34,18 @@
 }
 
 /**
-Takes the bytes of one connection as they come and yields the messages of whole frames.
-An oversized length is refused before anything of that size is kept, so that garbage on the
-port cannot make a host reserve memory.
+Reassembles the frames of one connection from its byte stream and decodes their messages.
+A length above `maxFrameBytes` is an error as soon as the prefix is read, before the body is buffered:
+otherwise a client that sends arbitrary bytes to the port could make the host run out of memory.
 */
 export class FrameReader {
 	#chunks: Buffer[] = [];
 	#size = 0;
 
-	/** Adds bytes; returns each whole frame's messages, or why the connection must be closed. */
+	/**
+	Appends received bytes. Returns the messages of each frame that is now complete, one array a frame.
+	After an error the stream can't be resynchronised: the caller must close the connection.
+	*/
 	readFrames(chunk: Buffer): Result<unknown[][], FrameError> {
 		this.#chunks.push(chunk);
 		this.#size += chunk.length;
@@ -51,7 +55,7 @@
 			if (length > maxFrameBytes) {
 				return err({
 					code: 'oversized-frame',
-					message: `a frame of ${length} bytes; at most ${maxFrameBytes}`,
+					message: `frame body of ${length} bytes exceeds the limit of ${maxFrameBytes} bytes`,
 				});
 			}
 
@@ -106,11 +110,15 @@
 		const value: unknown = decoder.decode(body);
 		return Array.isArray(value)
 			? ok(value as unknown[])
-			: err({code: 'malformed-frame', message: 'a frame that is no array'});
+			: err({
+					code: 'malformed-frame',
+					message: 'frame body is not a CBOR array',
+				});
 	} catch (error) {
 		return err({
 			code: 'malformed-frame',
-			message: error instanceof Error ? error.message : 'not CBOR',
+			message:
+				error instanceof Error ? error.message : 'frame body is not valid CBOR',
 		});
 	}
 }
--- a/packages/protocol/src/mesh.test.ts
+++ b/packages/protocol/src/mesh.test.ts
@@ -19,10 +19,10 @@
 }
 
 function doNothing(): void {
-	// Not of interest to this test.
+	// The test doesn't observe this call.
 }
 
-/** A started mesh that ends with the test. */
+/** Starts a mesh that is stopped after the test. */
 async function startMesh(
 	context: TestContext,
 	host: string,
@@ -56,9 +56,9 @@
 	return {mesh, address};
 }
 
-test('a host that greets a bare address becomes known there by name', async (context) => {
-	// A host starts while the platform is down, so that no list names it. Without the greeting it
-	// and the others would never meet, and its callers would be refused.
+test('a host that sends a greeting to a bare address becomes known there by name and address', async (context) => {
+	// A host starts while the platform is down, so it is on no host list. Without the greeting it
+	// and the other hosts would never connect, and its callers would be refused.
 	const met = new Promise<string>((resolve) => {
 		void startMesh(context, 'm1', {
 			onSessionUp({key, hello}) {
@@ -74,9 +74,9 @@
 	assert.equal(await met, expected);
 });
 
-test('a peer that was dark is dialled at once when it dials this host', async (context) => {
-	// Two hosts lost power, and the first is back sooner. Its tries to reach the second have failed
-	// and it waits longer after each; by that pause it would learn late who schedules what.
+test('a restarted peer is dialled at once when it dials this host, without waiting for the backoff', async (context) => {
+	// Two hosts lose power and the first restarts sooner. Its dials of the second fail and its backoff
+	// grows; if it waited for that, it would learn late which hosts schedule which groups.
 	const address = await findFreeAddress();
 	const linked = new Promise<void>((resolve) => {
 		void startMesh(context, 'm1', {
@@ -99,10 +99,10 @@
 	assert.ok(tookMs < 300, `${Math.round(tookMs)} ms`);
 });
 
-test('a peer is dialled at once when it dials this host right after a refused try', async (context) => {
-	// A host's process is back, and this host's last try to reach it was refused just before. That try
-	// is over: waited for like a pending one, the next would come after the growing pause, and
-	// callers here would be told of no scheduler meanwhile.
+test('a peer that dials this host right after refusing its dial is dialled at once', async (context) => {
+	// A host's process restarts just after this host's last dial of it was refused. If the refused dial
+	// were treated as pending, the next one would come only after the growing backoff, and until then
+	// callers of this host would be answered that no scheduler is in reach.
 	const address = await findFreeAddress();
 	const [ip, port] = address.split(':');
 	let tries = 0;
@@ -139,9 +139,9 @@
 	assert.ok(tookMs < 300, `${Math.round(tookMs)} ms`);
 });
 
-test('a peer that says nothing any more is hung up on and dialled anew', async (context) => {
-	// Something between two hosts forgets their connection: it stays open and nothing comes. A
-	// caller whose request was forwarded over it would wait for ever.
+test('a connection on which the peer sends nothing is closed and the peer is dialled again', async (context) => {
+	// A device between two hosts loses track of their connection: it stays open and no bytes arrive.
+	// A caller whose request was forwarded over it would wait for ever.
 	const sockets: net.Socket[] = [];
 	const silent = net.createServer((socket) => {
 		sockets.push(socket);
@@ -172,7 +172,7 @@
 	assert.equal(mesh.findLink('mieres_m2'), undefined);
 });
 
-/** Passes connections on to an address, until they are reset together. */
+/** Starts a TCP proxy to an address; `reset` resets all its connections together. */
 async function startRelay(context: TestContext, target: string) {
 	const [ip, port] = target.split(':');
 	const sockets = new Set<net.Socket>();
@@ -209,8 +209,9 @@
 	return {address: `127.0.0.1:${ownPort}`, reset};
 }
 
-// Guards against callers that wait for a group's answer while its host lives and only a connection was reset.
-test('a connection that was reset is made again at once', async (context) => {
+test('a peer is dialled again at once after its connection was reset', async (context) => {
+	// Only the connection was reset and the peer's host still runs. With a backoff, callers would wait
+	// that long for the answer of a group that the peer schedules.
 	const {address} = await startMesh(context, 'm2', {});
 	const relay = await startRelay(context, address);
 	let onLinkUp: () => void = doNothing;
--- a/packages/protocol/src/mesh.ts
+++ b/packages/protocol/src/mesh.ts
@@ -1,44 +1,50 @@
 /**
-This host's connections to its peers: it dials each known peer (as the asking side) and accepts
-theirs (as the answering side). A peer that is silent is hung up on and dialled anew.
+This host's connections to its peers. The host dials each known peer and sends requests on that connection (a link);
+it accepts the connections that peers dial and answers requests on them (sessions).
 
-What goes wrong: something between two hosts loses track of an open connection, or a host is
-frozen; the connection stays open and nothing comes. Noticed by the heartbeat: every ping is
-answered, and `silenceMs` without a byte closes the connection. That bounds how long a request
-can wait on a dead link.
+A firewall or NAT between two hosts can lose track of an open connection, or a host can freeze: the
+connection then stays open and no bytes arrive. Each ping is answered by a pong, and a connection without a
+received byte for `silenceMs` is closed and dialled again. This bounds how long a request can wait on a dead link.
 */
 import net from 'node:net';
 import {performance} from 'node:perf_hooks';
 import {Connection, type Meter} from './connection.js';
 import {protocolVersion, type Hello, type Message} from './messages.js';
 
-/** Heartbeat interval where none is given. */
+/** Default heartbeat interval. */
 export const pingMs = 600;
-/** Silence and due dials are looked at this many times between heartbeats. */
+/** Timer ticks a heartbeat interval; each tick closes silent connections and starts due dials. */
 const ticksPerPing = 5;
-/** A peer that sent nothing for this long is hung up on. */
+/** A connection is closed when no bytes have arrived on it for this long. */
 export const silenceMs = 2000;
-/** Why a connection was closed that nothing came on for that long. */
+/** Close reason of a connection without received bytes for `silenceMs`. */
 export const silentReason = 'silent';
-/** How long a dial may take. */
+/** Time-out for establishing a TCP connection; also how long the connection of `sendGreeting` stays open. */
 const dialTimeoutMs = 1500;
-/** Pause before a peer is dialled again; doubled up to the cap, with jitter. */
+/**
+Base of the exponential backoff between failed dials: doubled with each failure up to the cap, then 50 to 100 % of that as
+jitter. A link that breaks later than this after its dial
+is dialled again without backoff.
+*/
 const redialMs = 100;
-/** A try this young is left to come to its end: two hosts that dial each other would never meet otherwise. */
+/**
+A pending dial younger than this isn't replaced when the peer dials this host. Otherwise two hosts that dial each other at
+the same time would keep closing each other's dials and never connect.
+*/
 const freshDialMs = 200;
 const redialCapMs = 2000;
-/** A timer this late means that this host itself was paused: peers are not to blame. */
+/** A tick later than this means that this process was paused; the silence of peers is then no sign of a fault of theirs. */
 const pauseMs = 1000;
 
 export type PeerAddress = {dataCentre: string; host: string; address: string};
 
-/** An established, answered connection to a peer, this host asking. */
+/** A connection that this host dialled and on which the peer's `hello` has arrived: this host sends requests. */
 export type Link = {
 	key: string;
 	hello: Hello;
 	send: (message: Message) => void;
 };
-/** An accepted connection, this host answering. */
+/** A connection that the peer dialled and on which its `hello` has arrived: this host answers requests. */
 export type Session = {
 	key: string;
 	hello: Hello;
@@ -47,32 +53,33 @@
 
 export type MeshHandlers = {
 	onLinkUp: (link: Link) => void;
+	/** `reason`: the connection's close reason, such as `silentReason`. */
 	onLinkDown: (link: Link, reason: string) => void;
-	/** A message from the answering side of a link. */
+	/** A message that the peer sent on a link, other than `hello` and `pong`. */
 	onReply: (link: Link, message: Message) => void;
 	onSessionUp: (session: Session) => void;
 	onSessionDown: (session: Session) => void;
-	/** A message from the asking side of a session. */
+	/** A message that the peer sent on a session, other than `hello` and `ping`. */
 	onRequest: (session: Session, message: Message) => void;
-	/** The heartbeat: what is sent now travels in the same frames. */
+	/** Called right after the pings of each heartbeat: messages sent from it share the pings' frames. */
 	onBeat: () => void;
-	/** A peer says it is leaving, or that it no longer is. */
+	/** Called for each `hello` of a link, `ping` and `pong`, whether or not `isLeaving` has changed. */
 	onLeaving: (key: string, isLeaving: boolean) => void;
 };
 
 export type MeshOptions = {
 	self: Omit<Hello, 't' | 'version' | 'isLeaving'>;
-	/** Local IP of outgoing connections. */
+	/** Local IP address that outgoing connections are bound to. */
 	source?: string;
 	handlers: MeshHandlers;
 	meter: Meter;
 	/** Uniform in [0, 1). */
 	random: () => number;
-	/** Heartbeat interval; a third of `silenceMs` at most, so that two may be missed. */
+	/** Heartbeat interval; at most a third of `silenceMs`, so that two lost heartbeats don't close a connection. */
 	pingMs?: number;
 };
 
-/** Names a host in maps: `<data centre>_<host>`, as in issuers. */
+/** A host's key in maps: `<data centre>_<host>`, the same form as in issuers. */
 export function formatHostKey({
 	dataCentre,
 	host,
@@ -109,7 +116,7 @@
 		});
 	}
 
-	/** Listens and starts dialling. */
+	/** Listens for peers and starts the timer that dials them. Rejects if the address can't be listened on. */
 	async start(): Promise<void> {
 		const [ip, port] = splitAddress(this.options.self.address);
 		await new Promise<void>((resolve, reject) => {
@@ -121,7 +128,7 @@
 		}, this.#pingMs / ticksPerPing);
 	}
 
-	/** The peers to hold links to; links to others are closed. */
+	/** Replaces the set of peers: links to peers that are no longer in it are closed, new peers are dialled at once. */
 	setPeers(peers: readonly PeerAddress[]): void {
 		const wanted = new Set<string>();
 		for (const peer of peers) {
@@ -140,7 +147,7 @@
 		this.#dialDue(performance.now());
 	}
 
-	/** Keys of the peers to hold links to, whether or not there is one now. */
+	/** Keys of all peers given to `setPeers`, linked or not. */
 	listPeers(): string[] {
 		return [...this.#peers.keys()];
 	}
@@ -149,7 +156,7 @@
 		return this.#peers.get(key)?.link;
 	}
 
-	/** The incarnations of a host that are connected to this one, whichever side dialled. */
+	/** Incarnations of the host's connected processes, one entry a session or link; may repeat. */
 	listIncarnations(key: string): string[] {
 		const sessions = this.listSessions().filter(
 			(session) => session.key === key,
@@ -160,7 +167,7 @@
 		);
 	}
 
-	/** Where a peer is dialled. */
+	/** The address that the peer is dialled at. */
 	findAddress(key: string): string | undefined {
 		return this.#peers.get(key)?.address;
 	}
@@ -176,8 +183,8 @@
 	}
 
 	/**
-	Makes this host known at an address of which no name is known: the host there learns this one's
-	name and address from the hello, dials back, and is dialled in turn.
+	Announces this host to an address whose host name isn't known. The host there learns this host's
+	name and address from the `hello` and dials back, which tells this host its name; then this host dials it too.
 	*/
 	sendGreeting(address: string): void {
 		const [host, port] = splitAddress(address);
@@ -186,7 +193,7 @@
 			socket,
 			{
 				onMessage() {
-					// The answer comes over the connection that is dialled back.
+					// Replies are ignored: the other host dials back and is known from that connection.
 				},
 				onClose() {
 					clearTimeout(timer);
@@ -202,13 +209,13 @@
 		});
 	}
 
-	/** Tells all peers, at once and with each heartbeat. */
+	/** Sent to all linked peers at once, and from then on in each `hello`, `ping` and `pong`. */
 	setLeaving(isLeaving: boolean): void {
 		this.#isLeaving = isLeaving;
 		this.#sendHeartbeats(Infinity);
 	}
 
-	/** Sends what waits and closes in order. */
+	/** Sends the batched messages, closes all connections gracefully, and resolves when the server and all accepted connections are closed. */
 	async stop(): Promise<void> {
 		clearInterval(this.#timer);
 		for (const connection of this.#listConnections()) {
@@ -256,7 +263,10 @@
 		}
 	}
 
-	/** This host was paused: what the peers sent meanwhile has yet to be read. */
+	/**
+	After a pause of this process, bytes that peers sent meanwhile are still unread. Every connection stays open for
+	at least `pauseMs` from now, so that they can be read; otherwise it would be closed as silent without a fault of the peer.
+	*/
 	#forgiveSilence(now: number): void {
 		for (const connection of this.#listConnections()) {
 			connection.lastHeardAt = now - silenceMs + pauseMs;
@@ -278,7 +288,7 @@
 		return [...dialled, ...this.#accepted.keys()];
 	}
 
-	/** A link on which something was heard within the interval needs no ping. */
+	/** Pings the links without received bytes since `quietSince`; the others are known to be alive. */
 	#sendHeartbeats(quietSince: number): void {
 		for (const {link, connection} of this.#peers.values()) {
 			if (link && connection && connection.lastHeardAt <= quietSince) {
@@ -322,8 +332,9 @@
 	}
 
 	/**
-	A peer that dials this host can be reached. After all hosts lost power, the tries made while it was
-	dark wait for a time-out or a growing pause; its callers would be told of no scheduler meanwhile.
+	Dials a peer at once after it has dialled this host, since it can evidently be reached. When several hosts lose
+	power and restart, this host's earlier dial may still be waiting for its time-out or its backoff; until the
+	link is up, this host would answer its callers that no scheduler is in reach.
 	*/
 	#dialAgain(key: string): void {
 		const now = performance.now();
@@ -332,7 +343,8 @@
 			return;
 		}
 
-		// A try that has failed already is not waited for, however young: the next would come after the pause.
+		// A dial that has already failed has no connection and doesn't count as pending, however recent:
+		// otherwise the next dial would come only after the backoff.
 		const isFresh =
 			peer.connection !== undefined && now - peer.dialledAt < freshDialMs;
 		if (peer.link !== undefined || isFresh) {
@@ -400,7 +412,7 @@
 		}
 	}
 
-	/** Only the connection may be gone and not the host, whose answers callers here wait for. */
+	/** Dials without backoff: perhaps only the connection broke, and callers of this host wait for the peer's answers. */
 	#dialBroken(peer: Peer): void {
 		peer.failures = 0;
 		peer.nextDialAt = performance.now();
--- a/packages/protocol/src/messages.ts
+++ b/packages/protocol/src/messages.ts
@@ -1,7 +1,10 @@
 /**
-The messages between hosts. On a connection the side that dialled asks (client) and the side
-that accepted answers (server); two hosts that both ask hold a connection each way.
-Times are milliseconds and always durations: hosts share no clock.
+The messages between hosts. On a connection, the host that dialled sends requests (the client) and the host
+that accepted answers them (the server); two hosts that both send requests have a connection in each direction.
+Times are durations in milliseconds, never points in time, because the hosts' clocks aren't synchronised.
+
+In the names of messages, a job's owner is the host that accepted the job from its caller; a target's keeper is the
+host that assigns the slots of the target's executors and lends them to owners.
 */
 import {z} from 'zod';
 import {
@@ -16,22 +19,22 @@
 const count = z.number().int().min(0);
 const duration = z.number();
 
-/** First message both ways: who speaks. */
+/** The first message in both directions: identifies the sender. */
 export const helloSchema = z.object({
 	t: z.literal('hello'),
 	version: z.number().int(),
 	dataCentre: nameSchema,
 	host: nameSchema,
 	incarnation: z.string().regex(/^[\da-f]{16}$/v),
-	/** Where the speaker accepts inner connections. */
+	/** `<ip>:<port>` where the sender accepts connections from other hosts. */
 	address: z.string(),
-	/** Processor cores that the speaker may use; absent: not known. */
+	/** Processor cores that the sender may use; absent if unknown. */
 	cores: z.number().positive().optional(),
-	/** A host that is stopping holds no role and takes no new job. */
+	/** The sender is being stopped: it holds no role and accepts no new jobs. */
 	isLeaving: z.boolean(),
 });
 
-/** Client's heartbeat, answered by `pong`. */
+/** The client's heartbeat; the server answers with `pong`. */
 export const pingSchema = z.object({
 	t: z.literal('ping'),
 	isLeaving: z.boolean(),
@@ -41,7 +44,7 @@
 	isLeaving: z.boolean(),
 });
 
-/** A caller's request, handed to the job's owner. */
+/** A caller's request, forwarded to the job's owner. */
 export const forwardSchema = z.object({
 	t: z.literal('forward'),
 	request: count,
@@ -49,7 +52,7 @@
 	id: z.string().max(200),
 	attempt: z.number().int().min(1),
 	waitMs: duration,
-	/** JSON text of the submission. */
+	/** The submission as JSON text. */
 	submission: z.string().optional(),
 	traceparent: z.string().optional(),
 });
@@ -61,7 +64,7 @@
 	problem: problemSchema.optional(),
 });
 
-/** An owner tells a keeper how many slots a job wants; counters only rise, so it is idempotent. */
+/** An owner requests slots for a job from a keeper. The counters never decrease, so processing the message twice is harmless. */
 export const demandSchema = z.object({
 	t: z.literal('demand'),
 	target: nameSchema,
@@ -73,22 +76,22 @@
 	taskMs: duration,
 	deadlineInMs: duration,
 	waitedMs: duration,
-	/** Slots granted so far, as the owner knows. */
+	/** Slots granted so far, as far as the owner knows. */
 	granted: count.optional(),
-	/** An earlier keeper let the job in: it isn't judged again. */
+	/** A previous keeper admitted the job: this keeper skips the admission check. */
 	isAdmitted: z.boolean().optional(),
-	/** Slots that the job holds now from other keepers. */
+	/** Slots that the job currently holds from other keepers. */
 	heldElsewhere: count.optional(),
 });
 
-/** The job wants nothing more: it ended, failed or was cancelled. */
+/** The job needs no more slots: it ended, failed or was cancelled. */
 export const withdrawSchema = z.object({
 	t: z.literal('withdraw'),
 	target: nameSchema,
 	job: count,
 });
 
-/** A lent slot. */
+/** A slot of an executor that is lent to a job. */
 export const slotSchema = z.object({
 	executor: nameSchema,
 	slot: count,
@@ -96,12 +99,12 @@
 });
 
 /**
-Whether work waits at the keeper. While it does, slots come back at once; else the borrower may
-gather what it gives back for some milliseconds, which saves most of these messages.
+Whether work is queued at the keeper. If so, owners release slots at once; otherwise they may batch
+releases for some milliseconds, which saves most of the `release` messages.
 */
 const isHungry = z.boolean();
 
-/** Slots lent to the client; usable while its lease with this keeper runs. */
+/** Slots lent to the client; it may use them while its lease with this keeper is valid. */
 export const grantSchema = z.object({
 	t: z.literal('grant'),
 	target: nameSchema,
@@ -116,14 +119,14 @@
 	runMs: duration,
 });
 
-/** Slots given back. */
+/** The client returns slots to the keeper. */
 export const releaseSchema = z.object({
 	t: z.literal('release'),
 	target: nameSchema,
 	slots: z.array(slotReportSchema),
 });
 
-/** The keeper will not serve this job; nothing of it has been lent a slot. */
+/** The keeper refuses the job, for which it has lent no slot. */
 export const refuseSchema = z.object({
 	t: z.literal('refuse'),
 	target: nameSchema,
@@ -132,41 +135,41 @@
 	retryAfterMs: duration.optional(),
 });
 
-/** Give these back as their tasks end: better-ranked work waits. */
+/** The keeper requests these slots back when their tasks end, because work of higher rank is queued. */
 export const recallSchema = z.object({
 	t: z.literal('recall'),
 	target: nameSchema,
 	slots: z.array(count),
 });
 
-/** Client's request to extend its lease with this keeper. */
+/** The client requests an extension of its lease with this keeper. */
 export const leaseSchema = z.object({
 	t: z.literal('lease'),
 	target: nameSchema,
 	sequence: count,
-	/** All it holds of this keeper's executors; told at first and after the keeper changed. */
+	/** All slots of this keeper's executors that the client holds; sent first, and again after the keeper changed. */
 	held: z.array(slotSchema).optional(),
-	/** Tasks that ended on slots it kept. */
+	/** Results of tasks that ended on slots that the client kept. */
 	reports: z.array(slotReportSchema),
 });
-/** `leaving`: executors that must get nothing new. */
+/** The keeper's answer to `lease`. `leaving`: executors that must get no new tasks. */
 export const leasedSchema = z.object({
 	t: z.literal('leased'),
 	target: nameSchema,
 	sequence: count,
-	/** Random, made when the keeper took the role: another one knows nothing of the client yet. */
+	/** Random number chosen when the host became keeper. A different number means a new keeper, which doesn't know the client's slots yet. */
 	term: count,
 	leaving: z.array(nameSchema),
 	isHungry,
 });
 
-/** Work has begun to wait at the keeper. */
+/** Sent by the keeper when its queue becomes non-empty; see `isHungry`. */
 export const hungerSchema = z.object({
 	t: z.literal('hunger'),
 	target: nameSchema,
 });
 
-/** A new keeper asks what is lent before it lends; answered by `held`. */
+/** A new keeper asks which slots are lent before it lends any; answered by `held`. */
 export const askHeldSchema = z.object({
 	t: z.literal('ask-held'),
 	target: nameSchema,
@@ -179,16 +182,16 @@
 	slots: z.array(slotSchema),
 });
 
-/** A keeper's client side asks a keeper of another data centre to lend to its owner at once, or not. */
+/** A keeper, as client, asks a keeper of another data centre to lend slots to a job's owner: at once, or not at all. */
 export const shiftSchema = z.object({
 	t: z.literal('shift'),
 	target: nameSchema,
-	/** The owner that the grants go to: `<data centre>_<host>.<incarnation>`. */
+	/** The owner that receives the grants: `<data centre>_<host>.<incarnation>`. */
 	owner: z.string().max(200),
 	demand: demandSchema,
 	count,
 });
-/** How many of a shift were lent. */
+/** Answer to `shift`: how many of the requested slots were lent. */
 export const shiftedSchema = z.object({
 	t: z.literal('shifted'),
 	target: nameSchema,
@@ -196,11 +199,11 @@
 	job: count,
 	count,
 	granted: count,
-	/** Slots the answering keeper has free after this. */
+	/** Free slots that remain at the answering keeper. */
 	free: count,
 });
 
-/** A keeper's state, told to keepers of other data centres when it changes much. */
+/** A keeper's load, sent to keepers of other data centres when it changes considerably. */
 export const keeperStateSchema = z.object({
 	t: z.literal('keeper-state'),
 	target: nameSchema,
@@ -218,20 +221,20 @@
 	state: z.enum(['live', 'leaving']),
 });
 
-/** What the sender knows of hosts, within one data centre: not every host reads the platform's list. */
+/** The hosts that the sender knows. Sent within a data centre, because not every host reads the platform's host list. */
 export const hostsSchema = z.object({
 	t: z.literal('hosts'),
-	/** Hosts that the sender knows itself. */
+	/** Hosts that the sender knows other than from the platform's list. */
 	known: z.array(knownHostSchema),
-	/** The platform's list as the sender last got it, and how old it is. */
+	/** The platform's host list as the sender last got it; `listedAgeMs`: how long ago. */
 	listed: z.array(knownHostSchema).optional(),
 	listedAgeMs: duration.optional(),
 });
 
-/** A host's live state, for operators at other hosts. */
+/** A host's current state, shown to operators at other hosts. */
 export const hostStatusSchema = z.object({
 	t: z.literal('host-status'),
-	/** Highest revision of configuration in force there. */
+	/** Highest configuration revision in force at the sender. */
 	revision: count,
 	isStopping: z.boolean(),
 	activeJobs: count,
@@ -242,13 +245,13 @@
 			free: count,
 			slots: count,
 			queuedTasks: count,
-			/** Leaving executors that still have lent slots. */
+			/** Number of leaving executors that still have lent slots. */
 			leaving: count,
 		}),
 	),
 });
 
-/** Checked by the configuration package's own schemas. */
+/** Only `t` is checked here; the configuration package validates the rest by its own schemas. */
 export const configurationSchema = z.looseObject({
 	t: z.enum(['config-digest', 'config-revisions', 'config-resources']),
 });
--- a/packages/protocol/src/scheduling-messages.ts
+++ b/packages/protocol/src/scheduling-messages.ts
@@ -1,7 +1,8 @@
 /**
-Messages between entries, which hold callers' jobs, and the schedulers of executor groups.
-An entry asks over the connection that it dialled; the scheduler answers on that connection.
-A scheduler tells its state to every host over the connections that it dialled itself.
+Messages between entries, the hosts that hold callers' jobs, and the schedulers of executor groups. The host that
+schedules a group is the group's holder; each new holder has a higher (fencing) token.
+An entry sends requests over the connection that it dialled, and the scheduler answers on that connection.
+A scheduler sends its state to every host over the connections that it dialled itself.
 */
 import {nameSchema} from '@gentianshift/resources';
 import {z} from 'zod';
@@ -11,26 +12,27 @@
 const jobId = z.string().max(64);
 
 /**
-The state of the group that the entry read last: the holder's token and its steady clock when it told that state.
+The last state message (`group-state`) that the entry received from the group: the holder's token, and the holder's monotonic
+clock when it sent the state.
 
-What goes wrong: a message waits in a connection through a cut and arrives seconds late as if it were new. As it names a moment on the
-holder's own clock, it renews nothing beyond what that moment allows, however late it comes.
+A message can wait in a connection during a network failure and arrive seconds late as if it were new. Because it carries a
+time of the holder's own clock, the holder renews claims only as far as that time allows, however late the message arrives.
 */
 const answeredState = {token: count, stateAt: z.number()};
 
 /**
-What a job's entry lets a group do with its tasks, by a number that the entry never uses again. A task that the entry takes away from
-a silent holder and later hands to the same group comes under another claim.
+Number of a permission that a job's entry gives to a group to run tasks of the job. The entry never reuses a number: if it
+withdraws a task from a silent holder and later gives the task to the same group again, the new claim has another number.
 */
 const claim = count;
 
-/** When the entry took the job, milliseconds since 1970 by its clock: tells one taking of a job from the next. */
+/** When the entry accepted the job, Unix time in milliseconds by the entry's clock. Distinguishes copies of the job that were accepted at different times. */
 const takenAtMs = z.number();
 
-/** Tokens of the first and of the last holder of a group that was told of tasks. */
+/** Tokens of the first and of the last holder of a group that tasks were sent to. */
 const tokens = z.tuple([count, count]);
 
-/** Of the holders that another entry had handed tasks to, where it is known that one did. */
+/** Tokens of the holders that another entry sent tasks of the job to; absent if none is known to have done so. */
 const formerTokens = tokens.optional();
 
 /** What one task needs of an executor while it runs. */
@@ -42,9 +44,9 @@
 });
 
 /**
-A task that the entry asks for: its index in the job, the number of its next attempt, and the number
-of this placement, which rises each time that the entry places the task. Ends carry it back, so that
-a part that comes again and a task that was given back meanwhile are not taken for news.
+A task that the entry requests: its index in the job, the number of its next attempt, and its placement
+number, which the entry increases each time it places the task. `ends` messages return the placement number. Thereby a
+repeated `part` isn't taken for a new placement, nor an end of an earlier placement for one of the current placement.
 */
 export const wantedTaskSchema = z.tuple([
 	count,
@@ -53,23 +55,24 @@
 ]);
 
 /**
-Under which lives of executors a task ran when they crashed, or turned silent until their lease had passed. Receivers add it to what they know.
+The incarnations of executors that crashed, or were silent until their lease expired, while a task ran on them. Receivers merge
+the lists into those that they have.
 */
 export const taskCrashesSchema = z.object({
 	job: jobId,
 	index: count,
-	/** Ids of executors that have crashed. */
+	/** Ids of the incarnations that crashed. */
 	crashed: z.array(z.string()),
-	/** Ids of executors that may have crashed, or be out of reach. */
+	/** Ids of the incarnations that have crashed or are unreachable; it isn't known which. */
 	silent: z.array(z.string()),
 });
 
-/** Absent: none are known. */
+/** Absent if none are known. */
 const crashes = z.array(taskCrashesSchema).optional();
 
 /**
-Some or all tasks of a job, handed to one scheduler. Sent again after a broken connection or a
-change of the group's holder: tasks that are known already stay as they are.
+Some or all tasks of a job, assigned to one scheduler. The entry sends the part again after a broken connection or a
+change of the group's holder; the scheduler leaves tasks that it already knows unchanged.
 */
 export const partSchema = z.object({
 	t: z.literal('part'),
@@ -79,102 +82,102 @@
 	claim,
 	queue: z.string(),
 	service: z.string(),
-	/** 0 goes first. */
+	/** 0 is the most urgent. */
 	priority: count,
-	/** Failed runs after which a task counts as failed. */
+	/** Number of failed runs after which the task has failed. */
 	maxAttempts: z.number().int().min(1),
 	spec: z.string(),
 	demand: taskDemandSchema,
-	/** Run time of one task, as estimated by the entry. */
+	/** The entry's estimate of one task's run time. */
 	estimateMs: duration,
-	/** Until the job's latency objective; negative when it has passed. */
+	/** Time until the job's latency objective; negative if the objective has been missed. */
 	dueInMs: duration,
-	/** Tasks that would end later than this from now are given back at once, if none has started. */
+	/** If no task has started, tasks that would end later than this from now are returned at once. */
 	admitInMs: duration,
-	/** Until the caller no longer waits. */
+	/** Time until the caller stops waiting. */
 	timeLeftMs: duration,
-	/** Tasks of the whole job that are not done: its place in the queue follows from it. */
+	/** Unfinished tasks of the whole job; determines the job's position in the queue. */
 	remaining: count,
 	tasks: z.array(wantedTaskSchema),
-	/** Times that these tasks have been given back for room in another group. */
+	/** How often these tasks were returned because another group had free capacity. */
 	shifts: count,
-	/** Tasks of it may run under an earlier holder of the group. */
+	/** Some of these tasks may still run under a previous holder of the group. */
 	isMoved: z.boolean(),
 	crashes,
 });
 
-/** The entry no longer wants the job: it ended, its caller left, or its time is up. */
+/** The entry no longer needs the job's tasks: the job ended, its caller disconnected, or its time is up. */
 export const dropSchema = z.object({
 	t: z.literal('drop'),
 	job: jobId,
-	/** A later taking of the job by the same entry stays. */
+	/** A copy of the job that the same entry accepted later is not affected. */
 	takenAtMs,
-	/** Only what is under this claim or an earlier one: the job goes on elsewhere. Absent: all of it. */
+	/** Only tasks under this claim or an earlier one are dropped; the job continues elsewhere. Absent: all tasks of the job. */
 	claim: claim.optional(),
 });
 
 /**
-An entry takes over a job that its caller may have sent to another entry before. Copies of other entries are stopped, and none
-is started from then on.
+An entry accepts a job that its caller may have sent to another entry before. The scheduler stops the copies of other entries and
+starts none of them from then on.
 */
 export const replaceSchema = z.object({
 	t: z.literal('replace'),
 	job: jobId,
-	/** Of two copies the later one counts. */
+	/** Of two copies, the one that was accepted later is kept. */
 	takenAtMs,
-	/** Until the caller no longer waits. */
+	/** Time until the caller stops waiting. */
 	timeLeftMs: duration,
 	formerTokens,
 });
 
-/** Nothing of other copies runs any more, or (`isRefused`) another entry has a later copy: this one is not started. */
+/** Answer to `replace`: no task of another copy runs any more; or, if `isRefused`, another entry has a later copy, and this copy must not start. */
 export const replacedSchema = z.object({
 	t: z.literal('replaced'),
 	job: jobId,
 	takenAtMs,
 	isRefused: z.boolean(),
-	/** As asked: what a holder of these or of later tokens confirms. */
+	/** Copied from the `replace`: the confirmation holds for a holder with one of these tokens or a later one. */
 	formerTokens,
 	crashes,
 });
 
 /**
-An entry takes over a job, and not every scheduler can say whether another copy runs: entries are asked for theirs. One that
-has a copy gives it up.
+Sent by an entry that accepts a job when not every scheduler can say whether another copy runs. An entry that receives it
+and has a copy gives that copy up.
 */
 export const recallCopySchema = z.object({
 	t: z.literal('recall-copy'),
 	job: jobId,
 	takenAtMs,
-	/** The process that asks: `<host key>.<incarnation>`. */
+	/** The process that sent the request: `<host key>.<incarnation>`. */
 	entry: z.string(),
-	/** Hosts that it has no connection to: the receiver passes the question on to those that it has one to. */
+	/** Hosts that the requesting process has no connection to; the receiver forwards the request to those that it is connected to. */
 	passTo: z.array(z.string()),
 });
 
-/** An entry's answer to `recall-copy`; a host that it is not for passes it on. */
+/** An entry's answer to `recall-copy`; a host other than the requesting one forwards it there. */
 export const copyRecalledSchema = z.object({
 	t: z.literal('copy-recalled'),
 	job: jobId,
 	takenAtMs,
-	/** The process that asked. */
+	/** The process that sent the `recall-copy`. */
 	entry: z.string(),
-	/** The host that answers. */
+	/** The answering host. */
 	host: z.string(),
-	/** It has a later copy, which counts. */
+	/** The answering host has a later copy and keeps it. */
 	isRefused: z.boolean(),
-	/** Hosts that the question was passed on to: they answer as well. */
+	/** Hosts that the request was forwarded to, which answer as well. */
 	passedTo: z.array(z.string()),
-	/** The groups that it knows, and the tokens of their holders. */
+	/** The groups that the answering host knows, and their holders' tokens. */
 	groups: z.array(z.tuple([nameSchema, count])),
 	/** Groups where tasks of another copy may still run. */
 	places: z.array(
 		z.object({
 			group: nameSchema,
 			tokens,
-			/** From now on until nothing of it runs, whatever becomes of the group's holder. */
+			/** Time from now after which no task of the copy runs there, whatever happens to the group's holder. */
 			overInMs: duration,
-			/** The answering entry handed tasks there; else one that it has lost may have. */
+			/** True: the answering entry sent tasks to the group. False: an entry that it can no longer reach may have. */
 			isSure: z.boolean(),
 		}),
 	),
@@ -182,8 +185,8 @@
 });
 
 /**
-The entry's answer to a state of the group: it still wants what it handed over under these claims, and nothing else. No other message
-renews a claim, so that words for one job never keep another one alive.
+The entry's answer to a `group-state`: the entry still wants the tasks under these claims, and no others. No other message
+renews a claim, so that messages about one job never keep another job's tasks running.
 */
 export const keepSchema = z.object({
 	t: z.literal('keep'),
@@ -191,7 +194,7 @@
 	claims: z.array(claim),
 });
 
-/** A holder's answer to a keep: it has nothing under these claims, and nothing of them runs by its orders. */
+/** A holder's answer to `keep`: it has no tasks under these claims, and no call that it made still runs one. */
 export const claimsEndedSchema = z.object({
 	t: z.literal('claims-ended'),
 	token: count,
@@ -199,82 +202,82 @@
 });
 
 /**
-How a task ended at a scheduler: `done`, `failed` (its attempts are used up), `returned` (not
-running here, and will not: the entry places it anew or gives the job up).
+How a task ended at a scheduler: `done`; `failed`: its attempts are used up; `returned`: the task doesn't
+run here and won't, so the entry places it again or gives the job up.
 */
 export const taskEndSchema = z.object({
 	index: count,
 	outcome: z.enum(['done', 'failed', 'returned']),
-	/** The last attempt that was started here; 0: none. */
+	/** The last attempt that this scheduler started; 0 if none. */
 	attempt: count,
-	/** The placement that the end is of. */
+	/** The placement number that the end belongs to. */
 	placement: count,
-	/** Run time on the executor, where it was seen. */
+	/** Run time on the executor; absent if it wasn't measured. */
 	runMs: duration.optional(),
 });
 
 export const endsSchema = z.object({
 	t: z.literal('ends'),
 	job: jobId,
-	/** Of the holder that tells them, and the claim that they are of: a word of before the tasks came here anew gives nothing back. */
+	/** The sending holder's token, and the claim that the ends belong to. A message from before the tasks were placed here again names an older pair, and so returns none of them. */
 	token: count,
 	claim,
-	/** The first task of the job has been started here. */
+	/** At least one task of the job has been started at this scheduler. */
 	isStarted: z.boolean(),
 	ends: z.array(taskEndSchema),
 	/**
-	Why tasks were returned: `full`: not let in; `hopeless`: no longer in time; `elsewhere`: another
-	group has room; `released`: the group has another holder.
+	Why tasks were returned. `full`: they were not admitted; `hopeless`: they can no longer end in time; `elsewhere`: another
+	group has free capacity; `released`: the group has another holder.
 	*/
 	reason: z.enum(['full', 'hopeless', 'elsewhere', 'released']).optional(),
 	crashes,
 });
 
-/** A holder's state, told to all hosts: who schedules the group, and its room. */
+/** A holder's state message, sent to all hosts: which host schedules the group, and the group's free capacity and load. */
 export const groupStateSchema = z.object({
 	t: z.literal('group-state'),
 	/** The group's data centre. */
 	group: nameSchema,
-	/** Rises with each holder. */
+	/** Higher with each new holder. */
 	token: count,
-	/** The holder's steady clock when it told this, milliseconds; entries answer with it. */
+	/** The holder's monotonic clock when it sent this message, milliseconds; entries return it as `stateAt`. */
 	at: z.number(),
 	/**
-	The holder is being stopped: another takes the group over. Told here, and not only with the
-	heartbeat, whose word may come on another connection and be older than the state.
+	The holder is being stopped, and another host will take the group over. The heartbeat's `isLeaving` isn't enough: it may
+	arrive on another connection and be older than this state.
 	*/
 	isLeaving: z.boolean(),
-	/** A host with far more processor, which the holder asks to take the group over. */
+	/** A host with far more processor cores, which the holder asks to take the group over. */
 	successor: z.string().optional(),
-	/** The holder has given the group up: another takes it. */
+	/** The holder has given the group up, so that another host can take it. */
 	isReleased: z.boolean(),
-	/** Since the holder last heard of the store. */
+	/** Time since the holder last got an answer from the store. */
 	storeAgeMs: duration,
-	/** Free thousandths of a core of each executor that takes tasks. */
+	/** Free thousandths of a core of each executor that accepts tasks. */
 	free: z.array(count),
-	/** Thousandths of a core in all. */
+	/** Total thousandths of a core. */
 	capacity: count,
-	/** Waiting work that can still meet its objective, by priority: thousandths of a core times milliseconds. */
+	/** Queued work that can still meet its latency objective, by priority, in thousandths of a core times milliseconds. */
 	backlog: z.array(z.number()),
-	/** Waiting work that will be late, likewise: it goes after all other work of its priority. */
+	/** Queued work that will miss its objective, in the same form; it is scheduled after all other work of its priority. */
 	lateBacklog: z.array(z.number()),
-	/** Thousandths of a core that run, by priority. */
+	/** Thousandths of a core in use, by priority. */
 	running: z.array(count),
-	/** Of all jobs, told for some time after each change: a copy at another entry is known for what it is. */
+	/** Crashes under tasks of all jobs, sent for some time after each change, so that an entry that has another copy of a job knows of them too. */
 	crashes,
 });
 
-/** A caller cancelled a job at a host that does not hold it. */
+/** Sent by a host where a caller cancelled a job that the host doesn't hold. */
 export const cancelJobSchema = z.object({
 	t: z.literal('cancel-job'),
 	job: jobId,
 });
 
-/** The newest configuration that the sender knows, as text of the platform. */
+/** The newest queue configuration that the sender knows, as the platform's text. */
 export const queueTableSchema = z.object({
 	t: z.literal('queue-table'),
 	version: count,
-	/** Absent: only the version is told; a peer that lacks it asks. */
+	/** Absent if only the version is announced; a peer with an older version then requests the text. */
 	text: z.string().optional(),
 	isAsked: z.boolean().optional(),
 });
@@ -303,7 +306,7 @@
 export type Replaced = z.infer<typeof replacedSchema>;
 export type RecallCopy = z.infer<typeof recallCopySchema>;
 export type CopyRecalled = z.infer<typeof copyRecalledSchema>;
-/** First and last. */
+/** The first and the last holder's token. */
 export type TokenRange = z.infer<typeof tokens>;
 export type Ends = z.infer<typeof endsSchema>;
 export type TaskCrashes = z.infer<typeof taskCrashesSchema>;
