--- a/packages/configuration/src/exchange.test.ts
+++ b/packages/configuration/src/exchange.test.ts
@@ -103,7 +103,7 @@
 type Step =
 	| {type: 'change'; key: number; isDelete: boolean}
 	| {type: 'event' | 'snapshot'; host: number; age: number}
-	| {type: 'exchange'; from: number; to: number; drops: boolean};
+	| {type: 'exchange'; from: number; to: number; isFirstAnswerLost: boolean};
 
 const hostCount = 3;
 const hostArbitrary = fc.nat({max: hostCount - 1});
@@ -122,7 +122,7 @@
 		type: fc.constant('exchange' as const),
 		from: hostArbitrary,
 		to: hostArbitrary,
-		drops: fc.boolean(),
+		isFirstAnswerLost: fc.boolean(),
 	}),
 );
 
@@ -177,7 +177,9 @@
 		case 'exchange': {
 			const [from, to] = [tables[step.from]!, tables[step.to]!];
 			const answers = answerExchange(to, buildDigest(from));
-			for (const answer of step.drops ? answers.slice(1) : answers) {
+			for (const answer of step.isFirstAnswerLost
+				? answers.slice(1)
+				: answers) {
 				answerExchange(from, answer);
 			}
 
--- a/packages/configuration/src/exchange.ts
+++ b/packages/configuration/src/exchange.ts
@@ -23,7 +23,7 @@
 export const maxResourcesPerMessage = 200;
 
 /** Most characters of JSON of the resources in one message; a single larger resource gets a message of its own. */
-export const maxResourceCharacters = 256 * 1024;
+export const maxResourceCharactersPerMessage = 256 * 1024;
 
 /** Most `config-resources` messages in one answer; bounds the work that one digest can cause. */
 export const maxMessagesPerAnswer = 16;
@@ -108,7 +108,7 @@
 		const fits =
 			last !== undefined &&
 			last.resources.length < maxResourcesPerMessage &&
-			characters + size <= maxResourceCharacters;
+			characters + size <= maxResourceCharactersPerMessage;
 		if (fits) {
 			last.resources.push(resource);
 			characters += size;
@@ -125,22 +125,22 @@
 	table: ResourceTable,
 	{revision, hash}: DigestMessage,
 ): ExchangeMessage[] {
-	const own = table.digest();
-	if (own.hash === hash) {
+	const ownDigest = table.digest();
+	if (ownDigest.hash === hash) {
 		return [];
 	}
 
-	if (own.revision < revision) {
+	if (ownDigest.revision < revision) {
 		return [buildDigest(table)];
 	}
 
-	return own.revision > revision
-		? buildNewerThan(table, revision)
-		: buildAllRevisions(table);
+	return ownDigest.revision > revision
+		? buildResourcesNewerThan(table, revision)
+		: buildRevisionMessages(table);
 }
 
 /** Sorted by revision, so that the highest revision of a peer that got only the first messages says where to continue. */
-function buildNewerThan(
+function buildResourcesNewerThan(
 	table: ResourceTable,
 	revision: number,
 ): ExchangeMessage[] {
@@ -150,7 +150,7 @@
 	return buildResourceMessages(newer).slice(0, maxMessagesPerAnswer);
 }
 
-function buildAllRevisions(table: ResourceTable): ExchangeMessage[] {
+function buildRevisionMessages(table: ResourceTable): ExchangeMessage[] {
 	const keys = table.listKeys();
 	const messages: RevisionsMessage[] = [];
 	for (let start = 0; start < keys.length; start += maxRevisionsPerMessage) {
@@ -162,7 +162,7 @@
 			end: keys[end] ?? '',
 			revisions: keys
 				.slice(start, end)
-				.map((key) => ({key, revision: readRevision(table, key)})),
+				.map((key) => ({key, revision: getRevision(table, key)})),
 		});
 	}
 
@@ -173,22 +173,22 @@
 	table: ResourceTable,
 	message: RevisionsMessage,
 ): ExchangeMessage[] {
-	const theirs = new Map(
+	const peerRevisions = new Map(
 		message.revisions.map(({key, revision}) => [key, revision] as const),
 	);
-	const newer = listScope(table, message)
-		.filter((key) => readRevision(table, key) > (theirs.get(key) ?? 0))
-		.map((key) => table.readEntry(key)!);
-	const wanted = message.revisions
-		.map(({key}) => ({key, revision: readRevision(table, key)}))
-		.filter(({key, revision}) => revision < theirs.get(key)!);
+	const newer = listKeysInScope(table, message)
+		.filter((key) => getRevision(table, key) > (peerRevisions.get(key) ?? 0))
+		.map((key) => table.findEntry(key)!);
+	const outdated = message.revisions
+		.map(({key}) => ({key, revision: getRevision(table, key)}))
+		.filter(({key, revision}) => revision < peerRevisions.get(key)!);
 	return [
 		...buildResourceMessages(newer).slice(0, maxMessagesPerAnswer),
-		...buildWanted(wanted),
+		...buildRevisionRequest(outdated),
 	];
 }
 
-function buildWanted(revisions: KeyRevision[]): ExchangeMessage[] {
+function buildRevisionRequest(revisions: KeyRevision[]): ExchangeMessage[] {
 	return revisions.length === 0
 		? []
 		: [
@@ -203,7 +203,7 @@
 }
 
 /** The keys that a peer's `config-revisions` message covers. */
-function listScope(
+function listKeysInScope(
 	table: ResourceTable,
 	{scope, first, end, revisions}: RevisionsMessage,
 ): string[] {
@@ -213,8 +213,8 @@
 
 	const keys = table.listKeys();
 	return keys.slice(
-		findPosition(keys, first),
-		end === '' ? undefined : findPosition(keys, end),
+		findFirstKeyIndex(keys, first),
+		end === '' ? undefined : findFirstKeyIndex(keys, end),
 	);
 }
 
@@ -222,7 +222,7 @@
 Index of the first key that is not below the given one, by binary search. A list of many thousand
 keys arrives in many messages; a linear scan of the table for each would block the event loop.
 */
-function findPosition(keys: readonly string[], key: string): number {
+function findFirstKeyIndex(keys: readonly string[], key: string): number {
 	let low = 0;
 	let high = keys.length;
 	while (low < high) {
@@ -238,10 +238,10 @@
 }
 
 /** 0 if the key is unknown. */
-function readRevision(table: ResourceTable, key: string): number {
-	return table.readEntry(key)?.revision ?? 0;
+function getRevision(table: ResourceTable, key: string): number {
+	return table.findEntry(key)?.revision ?? 0;
 }
 
 function listEntries(table: ResourceTable): Resource[] {
-	return table.listKeys().map((key) => table.readEntry(key)!);
+	return table.listKeys().map((key) => table.findEntry(key)!);
 }
--- a/packages/configuration/src/table.ts
+++ b/packages/configuration/src/table.ts
@@ -42,7 +42,7 @@
 	/** Sorted by name, without tombstones. */
 	list: (kind: Kind) => Resource[];
 	/** Finds by formatted key, tombstones included. */
-	readEntry: (key: string) => Resource | undefined;
+	findEntry: (key: string) => Resource | undefined;
 	/** All keys, tombstones included, sorted. */
 	listKeys: () => string[];
 	digest: () => Digest;
@@ -50,7 +50,7 @@
 	subscribe: (listener: ResourceListener) => () => void;
 };
 
-const digestDigits = 16;
+const hashDigits = 16;
 
 export function createResourceTable(hash64: Hash64): ResourceTable {
 	const entries = new Map<string, Resource>();
@@ -58,7 +58,7 @@
 	let maxRevision = 0;
 	let snapshotRevision = 0;
 	// Sum of all entries' hashes modulo 2^64, so that a changed entry costs one subtraction and one addition.
-	let hash = 0n;
+	let hashSum = 0n;
 	let sortedKeys: string[] | undefined;
 
 	const hashEntry = (key: string, revision: number): bigint =>
@@ -69,7 +69,7 @@
 	snapshot's: the snapshot would have shown it, so it was deleted before. A host that never held the resource has no
 	tombstone for it, and a peer that was partitioned could restore it; the next exchange sends this tombstone to that peer.
 	*/
-	function correctDeleted(
+	function replaceIfDeleted(
 		resource: Resource,
 		previous: Resource | undefined,
 	): Resource {
@@ -78,21 +78,21 @@
 			: buildTombstone(resource, snapshotRevision);
 	}
 
-	function apply(given: Resource): boolean {
-		const key = formatKey(given);
+	function apply(received: Resource): boolean {
+		const key = formatKey(received);
 		const previous = entries.get(key);
-		const resource = correctDeleted(given, previous);
+		const resource = replaceIfDeleted(received, previous);
 		if (previous && previous.revision >= resource.revision) {
 			return false;
 		}
 
 		if (previous) {
-			hash = BigInt.asUintN(64, hash - hashEntry(key, previous.revision));
+			hashSum = BigInt.asUintN(64, hashSum - hashEntry(key, previous.revision));
 		} else {
 			sortedKeys = undefined;
 		}
 
-		hash = BigInt.asUintN(64, hash + hashEntry(key, resource.revision));
+		hashSum = BigInt.asUintN(64, hashSum + hashEntry(key, resource.revision));
 		entries.set(key, resource);
 		maxRevision = Math.max(maxRevision, resource.revision);
 		for (const listener of listeners) {
@@ -135,14 +135,14 @@
 			[...entries.values()]
 				.filter((entry) => entry.kind === kind && entry.spec !== null)
 				.toSorted((a, b) => (a.name < b.name ? -1 : 1)),
-		readEntry: (key) => entries.get(key),
+		findEntry: (key) => entries.get(key),
 		listKeys() {
 			sortedKeys ??= [...entries.keys()].toSorted();
 			return sortedKeys;
 		},
 		digest: () => ({
 			revision: maxRevision,
-			hash: hash.toString(16).padStart(digestDigits, '0'),
+			hash: hashSum.toString(16).padStart(hashDigits, '0'),
 		}),
 		subscribe(listener) {
 			listeners.add(listener);
--- a/packages/protocol/src/connection.ts
+++ b/packages/protocol/src/connection.ts
@@ -12,7 +12,7 @@
 const maxUnsentBytes = 128 * 1024 * 1024;
 
 /** A connection that is closed gracefully is destroyed after this long without activity on its socket. */
-const endLimitMs = 1000;
+const gracefulCloseTimeoutMs = 1000;
 
 export type Meter = {
 	/** Called once a frame that was sent, or received and validated. */
@@ -34,13 +34,13 @@
 
 /** `send` batches: all messages that are sent in one turn of the event loop go into one frame. */
 export class Connection {
-	/** The peer's `hello`; undefined until the peer has sent it. */
+	/** Meant for the peer's `hello`; nothing sets it, as the mesh keeps the `hello` in its links and sessions. */
 	peer: Hello | undefined;
 	/** When bytes last arrived, or when the connection was created: `performance.now()`, milliseconds. */
-	lastHeardAt = performance.now();
+	lastReceivedAt = performance.now();
 	readonly #reader = new FrameReader();
 	#batch: Message[] = [];
-	#closed = false;
+	#isClosed = false;
 
 	constructor(
 		private readonly socket: Socket,
@@ -58,11 +58,11 @@
 	}
 
 	get isClosed(): boolean {
-		return this.#closed;
+		return this.#isClosed;
 	}
 
 	send(message: Message): void {
-		if (this.#closed) {
+		if (this.#isClosed) {
 			return;
 		}
 
@@ -77,7 +77,7 @@
 
 	/** Sends the batched messages without waiting for the end of the event-loop turn. */
 	flush(): void {
-		if (this.#closed || this.#batch.length === 0) {
+		if (this.#isClosed || this.#batch.length === 0) {
 			return;
 		}
 
@@ -96,18 +96,18 @@
 	end(): void {
 		this.flush();
 		this.socket.end();
-		this.socket.setTimeout(endLimitMs, () => {
+		this.socket.setTimeout(gracefulCloseTimeoutMs, () => {
 			this.close('ended');
 		});
 	}
 
 	/** Destroys the socket at once; batched messages are lost. `onClose` is called once, also if `close` is called again. */
 	close(reason: string): void {
-		if (this.#closed) {
+		if (this.#isClosed) {
 			return;
 		}
 
-		this.#closed = true;
+		this.#isClosed = true;
 		this.socket.destroy();
 		this.handlers.onClose(reason);
 	}
@@ -116,20 +116,20 @@
 		this.meter.countBytesIn(chunk.length);
 		const frames = this.#reader.readFrames(chunk);
 		if (frames.isErr()) {
-			this.#refuse(frames.error.code);
+			this.#closeForBadFrame(frames.error.code);
 			return;
 		}
 
-		this.lastHeardAt = performance.now();
+		this.lastReceivedAt = performance.now();
 		for (const frame of frames.value) {
-			const messages = this.#check(frame);
+			const messages = this.#parseMessages(frame);
 			if (!messages) {
 				return;
 			}
 
 			this.meter.countFrame('in', messages);
 			for (const message of messages) {
-				if (this.#closed) {
+				if (this.#isClosed) {
 					return;
 				}
 
@@ -138,12 +138,12 @@
 		}
 	}
 
-	#check(frame: unknown[]): Message[] | undefined {
+	#parseMessages(frame: unknown[]): Message[] | undefined {
 		const messages: Message[] = [];
 		for (const item of frame) {
 			const parsed = messageSchema.safeParse(item);
 			if (!parsed.success) {
-				this.#refuse('unknown-message');
+				this.#closeForBadFrame('unknown-message');
 				return undefined;
 			}
 
@@ -153,7 +153,7 @@
 		return messages;
 	}
 
-	#refuse(reason: string): void {
+	#closeForBadFrame(reason: string): void {
 		this.meter.countBadFrame(reason);
 		this.close(reason);
 	}
--- a/packages/protocol/src/frame.ts
+++ b/packages/protocol/src/frame.ts
@@ -9,27 +9,27 @@
 /** Largest body of a frame. A forwarded submission or answer of the largest permitted size fits with a margin. */
 export const maxFrameBytes = 40 * 1024 * 1024;
 
-const lengthBytes = 4;
+const lengthPrefixBytes = 4;
 
 export type FrameError = {
 	code: 'oversized-frame' | 'malformed-frame';
 	message: string;
 };
 
-const options = {
+const cborOptions = {
 	useRecords: false,
 	mapsAsObjects: true,
 	variableMapSize: true,
 } as const;
-const encoder = new Encoder(options);
-const decoder = new Decoder(options);
+const encoder = new Encoder(cborOptions);
+const decoder = new Decoder(cborOptions);
 
 /** Encodes messages as one frame, including its length prefix. */
 export function encodeFrame(messages: readonly unknown[]): Buffer {
 	const body = encoder.encode(messages);
-	const frame = Buffer.allocUnsafe(lengthBytes + body.length);
+	const frame = Buffer.allocUnsafe(lengthPrefixBytes + body.length);
 	frame.writeUInt32BE(body.length, 0);
-	frame.set(body, lengthBytes);
+	frame.set(body, lengthPrefixBytes);
 	return frame;
 }
 
@@ -40,7 +40,7 @@
 */
 export class FrameReader {
 	#chunks: Buffer[] = [];
-	#size = 0;
+	#bufferedBytes = 0;
 
 	/**
 	Appends received bytes. Returns the messages of each frame that is now complete, one array a frame.
@@ -48,10 +48,10 @@
 	*/
 	readFrames(chunk: Buffer): Result<unknown[][], FrameError> {
 		this.#chunks.push(chunk);
-		this.#size += chunk.length;
+		this.#bufferedBytes += chunk.length;
 		const frames: unknown[][] = [];
-		while (this.#size >= lengthBytes) {
-			const length = this.#peekLength();
+		while (this.#bufferedBytes >= lengthPrefixBytes) {
+			const length = this.#peekBodyLength();
 			if (length > maxFrameBytes) {
 				return err({
 					code: 'oversized-frame',
@@ -59,12 +59,12 @@
 				});
 			}
 
-			if (this.#size < lengthBytes + length) {
+			if (this.#bufferedBytes < lengthPrefixBytes + length) {
 				break;
 			}
 
 			const messages = decodeBody(
-				this.#take(lengthBytes + length).subarray(lengthBytes),
+				this.#takeBytes(lengthPrefixBytes + length).subarray(lengthPrefixBytes),
 			);
 			if (messages.isErr()) {
 				return err(messages.error);
@@ -76,21 +76,21 @@
 		return ok(frames);
 	}
 
-	#peekLength(): number {
-		if (this.#chunks[0]!.length < lengthBytes) {
-			this.#join();
+	#peekBodyLength(): number {
+		if (this.#chunks[0]!.length < lengthPrefixBytes) {
+			this.#joinChunks();
 		}
 
 		return this.#chunks[0]!.readUInt32BE(0);
 	}
 
-	#take(size: number): Buffer {
+	#takeBytes(size: number): Buffer {
 		if (this.#chunks[0]!.length < size) {
-			this.#join();
+			this.#joinChunks();
 		}
 
 		const first = this.#chunks[0]!;
-		this.#size -= size;
+		this.#bufferedBytes -= size;
 		if (first.length === size) {
 			this.#chunks.shift();
 		} else {
@@ -100,7 +100,7 @@
 		return first.subarray(0, size);
 	}
 
-	#join(): void {
+	#joinChunks(): void {
 		this.#chunks = [Buffer.concat(this.#chunks)];
 	}
 }
--- a/packages/protocol/src/mesh.test.ts
+++ b/packages/protocol/src/mesh.test.ts
@@ -86,16 +86,16 @@
 		}).then(async (first) => {
 			first.mesh.setPeers([{dataCentre: 'mieres', host: 'm2', address}]);
 			await delay(1500);
-			backAt = performance.now();
+			restartedAt = performance.now();
 			const second = await startMesh(context, 'm2', {}, address);
 			second.mesh.setPeers([
 				{dataCentre: 'mieres', host: 'm1', address: first.address},
 			]);
 		});
 	});
-	let backAt = 0;
+	let restartedAt = 0;
 	await linked;
-	const tookMs = performance.now() - backAt;
+	const tookMs = performance.now() - restartedAt;
 	assert.ok(tookMs < 300, `${Math.round(tookMs)} ms`);
 });
 
@@ -105,18 +105,18 @@
 	// callers of this host would be answered that no scheduler is in reach.
 	const address = await findFreeAddress();
 	const [ip, port] = address.split(':');
-	let tries = 0;
+	let refusedDials = 0;
 	let linked = doNothing;
 	const first = await startMesh(context, 'm1', {
 		onLinkUp() {
 			linked();
 		},
 	});
-	const refused = new Promise<void>((resolve) => {
+	const allRefused = new Promise<void>((resolve) => {
 		const refusing = net.createServer((socket) => {
 			socket.destroy();
-			tries += 1;
-			if (tries === 4) {
+			refusedDials += 1;
+			if (refusedDials === 4) {
 				refusing.close(() => {
 					resolve();
 				});
@@ -125,17 +125,17 @@
 		refusing.listen(Number(port), ip);
 	});
 	first.mesh.setPeers([{dataCentre: 'mieres', host: 'm2', address}]);
-	await refused;
-	const backAt = performance.now();
-	const isLinked = new Promise<void>((resolve) => {
+	await allRefused;
+	const restartedAt = performance.now();
+	const linkedAgain = new Promise<void>((resolve) => {
 		linked = resolve;
 	});
 	const second = await startMesh(context, 'm2', {}, address);
 	second.mesh.setPeers([
 		{dataCentre: 'mieres', host: 'm1', address: first.address},
 	]);
-	await isLinked;
-	const tookMs = performance.now() - backAt;
+	await linkedAgain;
+	const tookMs = performance.now() - restartedAt;
 	assert.ok(tookMs < 300, `${Math.round(tookMs)} ms`);
 });
 
@@ -143,7 +143,7 @@
 	// A device between two hosts loses track of their connection: it stays open and no bytes arrive.
 	// A caller whose request was forwarded over it would wait for ever.
 	const sockets: net.Socket[] = [];
-	const silent = net.createServer((socket) => {
+	const silentServer = net.createServer((socket) => {
 		sockets.push(socket);
 	});
 	after(() => {
@@ -151,15 +151,15 @@
 			socket.destroy();
 		}
 
-		silent.close();
+		silentServer.close();
 	});
 	await new Promise<void>((resolve) => {
-		silent.listen(0, '127.0.0.1', resolve);
+		silentServer.listen(0, '127.0.0.1', resolve);
 	});
-	const {port} = silent.address() as AddressInfo;
+	const {port} = silentServer.address() as AddressInfo;
 	const {mesh} = await startMesh(context, 'm1', {});
 	const dialledTwice = new Promise<void>((resolve) => {
-		silent.on('connection', () => {
+		silentServer.on('connection', () => {
 			if (sockets.length === 2) {
 				resolve();
 			}
--- a/packages/protocol/src/mesh.ts
+++ b/packages/protocol/src/mesh.ts
@@ -12,7 +12,7 @@
 import {protocolVersion, type Hello, type Message} from './messages.js';
 
 /** Default heartbeat interval. */
-export const pingMs = 600;
+export const defaultPingIntervalMs = 600;
 /** Timer ticks a heartbeat interval; each tick closes silent connections and starts due dials. */
 const ticksPerPing = 5;
 /** A connection is closed when no bytes have arrived on it for this long. */
@@ -22,19 +22,18 @@
 /** Time-out for establishing a TCP connection; also how long the connection of `sendGreeting` stays open. */
 const dialTimeoutMs = 1500;
 /**
-Base of the exponential backoff between failed dials: doubled with each failure up to the cap, then 50 to 100 % of that as
-jitter. A link that breaks later than this after its dial
-is dialled again without backoff.
+Base of the exponential backoff between failed dials: doubled with each failure up to `maxRedialDelayMs`, then multiplied
+by a random factor from 0.5 to 1. A link that breaks later than this after its dial is dialled again without backoff.
 */
-const redialMs = 100;
+const minRedialDelayMs = 100;
 /**
 A pending dial younger than this isn't replaced when the peer dials this host. Otherwise two hosts that dial each other at
 the same time would keep closing each other's dials and never connect.
 */
-const freshDialMs = 200;
-const redialCapMs = 2000;
+const pendingDialGraceMs = 200;
+const maxRedialDelayMs = 2000;
 /** A tick later than this means that this process was paused; the silence of peers is then no sign of a fault of theirs. */
-const pauseMs = 1000;
+const pauseThresholdMs = 1000;
 
 export type PeerAddress = {dataCentre: string; host: string; address: string};
 
@@ -94,7 +93,7 @@
 	key: string;
 	connection?: Connection;
 	link?: Link;
-	failures: number;
+	failedDials: number;
 	nextDialAt: number;
 	dialledAt: number;
 };
@@ -105,12 +104,12 @@
 	readonly #accepted = new Map<Connection, Session | undefined>();
 	readonly #server: net.Server;
 	#timer: NodeJS.Timeout | undefined;
-	#tickAt = performance.now();
-	#beat = 0;
-	readonly #pingMs: number;
+	#lastTickAt = performance.now();
+	#tickCount = 0;
+	readonly #pingIntervalMs: number;
 
 	constructor(private readonly options: MeshOptions) {
-		this.#pingMs = options.pingMs ?? pingMs;
+		this.#pingIntervalMs = options.pingMs ?? defaultPingIntervalMs;
 		this.#server = net.createServer((socket) => {
 			this.#accept(socket);
 		});
@@ -124,8 +123,8 @@
 			this.#server.listen(port, ip, resolve);
 		});
 		this.#timer = setInterval(() => {
-			this.#tick();
-		}, this.#pingMs / ticksPerPing);
+			this.#onTick();
+		}, this.#pingIntervalMs / ticksPerPing);
 	}
 
 	/** Replaces the set of peers: links to peers that are no longer in it are closed, new peers are dialled at once. */
@@ -144,7 +143,7 @@
 			}
 		}
 
-		this.#dialDue(performance.now());
+		this.#dialDuePeers(performance.now());
 	}
 
 	/** Keys of all peers given to `setPeers`, linked or not. */
@@ -231,51 +230,53 @@
 	}
 
 	#setPeer(key: string, address: PeerAddress): void {
-		const known = this.#peers.get(key);
-		if (known?.address === address.address) {
+		const previous = this.#peers.get(key);
+		if (previous?.address === address.address) {
 			return;
 		}
 
-		known?.connection?.close('moved');
+		previous?.connection?.close('moved');
 		this.#peers.set(key, {
 			...address,
 			key,
-			failures: 0,
+			failedDials: 0,
 			nextDialAt: 0,
 			dialledAt: 0,
 		});
 	}
 
-	#tick(): void {
+	#onTick(): void {
 		const now = performance.now();
-		const late = now - this.#tickAt - this.#pingMs / ticksPerPing;
-		this.#tickAt = now;
-		if (late > pauseMs) {
-			this.#forgiveSilence(now);
+		const latenessMs =
+			now - this.#lastTickAt - this.#pingIntervalMs / ticksPerPing;
+		this.#lastTickAt = now;
+		if (latenessMs > pauseThresholdMs) {
+			this.#extendSilenceLimits(now);
 		}
 
-		this.#closeSilent(now);
-		this.#dialDue(now);
-		this.#beat += 1;
-		if (this.#beat % ticksPerPing === 0) {
-			this.#sendHeartbeats(now - this.#pingMs);
+		this.#closeSilentConnections(now);
+		this.#dialDuePeers(now);
+		this.#tickCount += 1;
+		if (this.#tickCount % ticksPerPing === 0) {
+			this.#sendHeartbeats(now - this.#pingIntervalMs);
 			this.options.handlers.onBeat();
 		}
 	}
 
 	/**
 	After a pause of this process, bytes that peers sent meanwhile are still unread. Every connection stays open for
-	at least `pauseMs` from now, so that they can be read; otherwise it would be closed as silent without a fault of the peer.
+	at least `pauseThresholdMs` from now, so that these bytes can be read; otherwise connections to healthy peers would be
+	closed as silent.
 	*/
-	#forgiveSilence(now: number): void {
+	#extendSilenceLimits(now: number): void {
 		for (const connection of this.#listConnections()) {
-			connection.lastHeardAt = now - silenceMs + pauseMs;
+			connection.lastReceivedAt = now - silenceMs + pauseThresholdMs;
 		}
 	}
 
-	#closeSilent(now: number): void {
+	#closeSilentConnections(now: number): void {
 		for (const connection of this.#listConnections()) {
-			if (now - connection.lastHeardAt > silenceMs) {
+			if (now - connection.lastReceivedAt > silenceMs) {
 				connection.close(silentReason);
 			}
 		}
@@ -288,16 +289,16 @@
 		return [...dialled, ...this.#accepted.keys()];
 	}
 
-	/** Pings the links without received bytes since `quietSince`; the others are known to be alive. */
-	#sendHeartbeats(quietSince: number): void {
+	/** Pings the links without received bytes since `idleSince`; the others are known to be alive. */
+	#sendHeartbeats(idleSince: number): void {
 		for (const {link, connection} of this.#peers.values()) {
-			if (link && connection && connection.lastHeardAt <= quietSince) {
+			if (link && connection && connection.lastReceivedAt <= idleSince) {
 				link.send({t: 'ping', isLeaving: this.#isLeaving});
 			}
 		}
 	}
 
-	#dialDue(now: number): void {
+	#dialDuePeers(now: number): void {
 		for (const peer of this.#peers.values()) {
 			if (!peer.connection && now >= peer.nextDialAt) {
 				this.#dial(peer);
@@ -336,7 +337,7 @@
 	power and restart, this host's earlier dial may still be waiting for its time-out or its backoff; until the
 	link is up, this host would answer its callers that no scheduler is in reach.
 	*/
-	#dialAgain(key: string): void {
+	#dialReachablePeer(key: string): void {
 		const now = performance.now();
 		const peer = this.#peers.get(key);
 		if (!peer) {
@@ -345,16 +346,17 @@
 
 		// A dial that has already failed has no connection and doesn't count as pending, however recent:
 		// otherwise the next dial would come only after the backoff.
-		const isFresh =
-			peer.connection !== undefined && now - peer.dialledAt < freshDialMs;
-		if (peer.link !== undefined || isFresh) {
+		const isDialPending =
+			peer.connection !== undefined &&
+			now - peer.dialledAt < pendingDialGraceMs;
+		if (peer.link !== undefined || isDialPending) {
 			return;
 		}
 
 		peer.connection?.close('the peer is back');
-		peer.failures = 0;
+		peer.failedDials = 0;
 		peer.nextDialAt = now;
-		this.#dialDue(now);
+		this.#dialDuePeers(now);
 	}
 
 	#receiveReply(peer: Peer, connection: Connection, message: Message): void {
@@ -385,7 +387,7 @@
 			return;
 		}
 
-		peer.failures = 0;
+		peer.failedDials = 0;
 		peer.link = {
 			key: peer.key,
 			hello,
@@ -401,10 +403,10 @@
 		const {link} = peer;
 		peer.connection = undefined;
 		peer.link = undefined;
-		if (link && performance.now() - peer.dialledAt > redialMs) {
-			this.#dialBroken(peer);
+		if (link && performance.now() - peer.dialledAt > minRedialDelayMs) {
+			this.#dialWithoutBackoff(peer);
 		} else {
-			this.#scheduleDial(peer);
+			this.#scheduleDialWithBackoff(peer);
 		}
 
 		if (link) {
@@ -413,22 +415,22 @@
 	}
 
 	/** Dials without backoff: perhaps only the connection broke, and callers of this host wait for the peer's answers. */
-	#dialBroken(peer: Peer): void {
-		peer.failures = 0;
+	#dialWithoutBackoff(peer: Peer): void {
+		peer.failedDials = 0;
 		peer.nextDialAt = performance.now();
 		setImmediate(() => {
-			this.#dialDue(performance.now());
+			this.#dialDuePeers(performance.now());
 		});
 	}
 
-	#scheduleDial(peer: Peer): void {
-		peer.failures += 1;
-		const pause = Math.min(
-			redialCapMs,
-			redialMs * 2 ** Math.min(peer.failures, 6),
+	#scheduleDialWithBackoff(peer: Peer): void {
+		peer.failedDials += 1;
+		const delayMs = Math.min(
+			maxRedialDelayMs,
+			minRedialDelayMs * 2 ** Math.min(peer.failedDials, 6),
 		);
 		peer.nextDialAt =
-			performance.now() + pause * (0.5 + this.options.random() / 2);
+			performance.now() + delayMs * (0.5 + this.options.random() / 2);
 	}
 
 	#accept(socket: net.Socket): void {
@@ -484,7 +486,7 @@
 		};
 		this.#accepted.set(connection, session);
 		connection.send(this.#makeHello());
-		this.#dialAgain(session.key);
+		this.#dialReachablePeer(session.key);
 		this.options.handlers.onSessionUp(session);
 	}
 
@@ -507,6 +509,6 @@
 }
 
 function splitAddress(address: string): [string, number] {
-	const at = address.lastIndexOf(':');
-	return [address.slice(0, at), Number(address.slice(at + 1))];
+	const colonIndex = address.lastIndexOf(':');
+	return [address.slice(0, colonIndex), Number(address.slice(colonIndex + 1))];
 }
--- a/packages/protocol/src/messages.ts
+++ b/packages/protocol/src/messages.ts
@@ -1,7 +1,7 @@
 /**
 The messages between hosts. On a connection, the host that dialled sends requests (the client) and the host
 that accepted answers them (the server); two hosts that both send requests have a connection in each direction.
-Times are durations in milliseconds, never points in time, because the hosts' clocks aren't synchronised.
+Times in this file are durations in milliseconds, never points in time, because the hosts' clocks aren't synchronised.
 
 In the names of messages, a job's owner is the host that accepted the job from its caller; a target's keeper is the
 host that assigns the slots of the target's executors and lends them to owners.
@@ -102,13 +102,13 @@
 Whether work is queued at the keeper. If so, owners release slots at once; otherwise they may batch
 releases for some milliseconds, which saves most of the `release` messages.
 */
-const isHungry = z.boolean();
+const hasQueuedWork = z.boolean();
 
 /** Slots lent to the client; it may use them while its lease with this keeper is valid. */
 export const grantSchema = z.object({
 	t: z.literal('grant'),
 	target: nameSchema,
-	isHungry,
+	isHungry: hasQueuedWork,
 	slots: z.array(slotSchema),
 });
 
@@ -160,11 +160,11 @@
 	/** Random number chosen when the host became keeper. A different number means a new keeper, which doesn't know the client's slots yet. */
 	term: count,
 	leaving: z.array(nameSchema),
-	isHungry,
+	isHungry: hasQueuedWork,
 });
 
 /** Sent by the keeper when its queue becomes non-empty; see `isHungry`. */
-export const hungerSchema = z.object({
+export const workQueuedSchema = z.object({
 	t: z.literal('hunger'),
 	target: nameSchema,
 });
@@ -224,7 +224,7 @@
 /** The hosts that the sender knows. Sent within a data centre, because not every host reads the platform's host list. */
 export const hostsSchema = z.object({
 	t: z.literal('hosts'),
-	/** Hosts that the sender knows other than from the platform's list. */
+	/** Hosts that the sender knows at first hand: itself, those that it is connected to, and those on its own host list. */
 	known: z.array(knownHostSchema),
 	/** The platform's host list as the sender last got it; `listedAgeMs`: how long ago. */
 	listed: z.array(knownHostSchema).optional(),
@@ -270,7 +270,7 @@
 	recallSchema,
 	leaseSchema,
 	leasedSchema,
-	hungerSchema,
+	workQueuedSchema,
 	askHeldSchema,
 	heldSchema,
 	shiftSchema,
--- a/packages/protocol/src/scheduling-messages.ts
+++ b/packages/protocol/src/scheduling-messages.ts
@@ -18,7 +18,7 @@
 A message can wait in a connection during a network failure and arrive seconds late as if it were new. Because it carries a
 time of the holder's own clock, the holder renews claims only as far as that time allows, however late the message arrives.
 */
-const answeredState = {token: count, stateAt: z.number()};
+const answeredStateFields = {token: count, stateAt: z.number()};
 
 /**
 Number of a permission that a job's entry gives to a group to run tasks of the job. The entry never reuses a number: if it
@@ -26,14 +26,14 @@
 */
 const claim = count;
 
-/** When the entry accepted the job, Unix time in milliseconds by the entry's clock. Distinguishes copies of the job that were accepted at different times. */
+/** When the entry accepted the job, Unix time in milliseconds by the entry's clock. Distinguishes copies of the job accepted at different times. */
 const takenAtMs = z.number();
 
 /** Tokens of the first and of the last holder of a group that tasks were sent to. */
-const tokens = z.tuple([count, count]);
+const tokenRangeSchema = z.tuple([count, count]);
 
 /** Tokens of the holders that another entry sent tasks of the job to; absent if none is known to have done so. */
-const formerTokens = tokens.optional();
+const formerTokens = tokenRangeSchema.optional();
 
 /** What one task needs of an executor while it runs. */
 export const taskDemandSchema = z.object({
@@ -78,7 +78,7 @@
 	t: z.literal('part'),
 	job: jobId,
 	takenAtMs,
-	...answeredState,
+	...answeredStateFields,
 	claim,
 	queue: z.string(),
 	service: z.string(),
@@ -143,7 +143,7 @@
 
 /**
 Sent by an entry that accepts a job when not every scheduler can say whether another copy runs. An entry that receives it
-and has a copy gives that copy up.
+and has a copy gives that copy up, unless its copy is the later one (`isRefused` in its answer).
 */
 export const recallCopySchema = z.object({
 	t: z.literal('recall-copy'),
@@ -174,7 +174,7 @@
 	places: z.array(
 		z.object({
 			group: nameSchema,
-			tokens,
+			tokens: tokenRangeSchema,
 			/** Time from now after which no task of the copy runs there, whatever happens to the group's holder. */
 			overInMs: duration,
 			/** True: the answering entry sent tasks to the group. False: an entry that it can no longer reach may have. */
@@ -190,7 +190,7 @@
 */
 export const keepSchema = z.object({
 	t: z.literal('keep'),
-	...answeredState,
+	...answeredStateFields,
 	claims: z.array(claim),
 });
 
@@ -307,7 +307,7 @@
 export type RecallCopy = z.infer<typeof recallCopySchema>;
 export type CopyRecalled = z.infer<typeof copyRecalledSchema>;
 /** The first and the last holder's token. */
-export type TokenRange = z.infer<typeof tokens>;
+export type TokenRange = z.infer<typeof tokenRangeSchema>;
 export type Ends = z.infer<typeof endsSchema>;
 export type TaskCrashes = z.infer<typeof taskCrashesSchema>;
 export type TaskEnd = z.infer<typeof taskEndSchema>;
