--- a/packages/configuration/src/exchange.ts
+++ b/packages/configuration/src/exchange.ts
@@ -1,29 +1,31 @@
 /**
-How two hosts bring their tables together: pure answers to messages.
+Anti-entropy between the resource tables of two hosts. This module does no I/O: it computes the answers to messages.
 
-Readers pass each change on as it comes; this exchange repairs what that missed: hosts that were
-cut off, started during an outage of the platform, or lost a message. Each host sends its digest
-to peers now and then. On a digest that differs:
+Hosts that read the store forward each change to their peers at once. This exchange repairs what that missed: a host
+was partitioned, started during an outage of the platform, or lost a message. Each host periodically sends
+its digest to peers. A host that receives a different digest compares the highest revisions:
 
-1. The peer is behind: it gets what changed since its highest revision. The usual case, cheap.
-2. This host is behind: it answers with its own digest, and so gets the same.
-3. Both know the same highest revision and still differ (one lacks something older): the whole
-   list of revisions goes over, the peer answers with what it has newer and asks for what it lacks.
+1. The peer's is lower: answer with the resources of higher revisions. This is the usual case, and cheap.
+2. The peer's is higher: answer with this host's digest; the peer then handles it by case 1.
+3. They are equal (one side lacks an older resource): answer with the list of all keys and revisions; the
+   peer answers with the resources that it has newer, and requests those that it lacks.
 
-Each message and each answer is bounded; what did not fit goes with a later digest.
+Each message and each answer is bounded in size; the rest follows after a later digest.
 */
 import {resourceSchema, type Resource} from '@gentianshift/resources';
 import {z} from 'zod';
 import {type ResourceTable} from './table.js';
 
-/** Most revisions in one message: about 30 KB. */
+/** Most revisions in one message, which is then about 30 KB long. */
 export const maxRevisionsPerMessage = 500;
 
-/** Most resources in one message, and the size of their JSON that it stops at, characters. */
+/** Most resources in one message. */
 export const maxResourcesPerMessage = 200;
-export const maxResourceCharacters = 256 * 1024;
 
-/** Most messages of resources in one answer: bounds what one digest can cost. */
+/** Most characters of JSON of the resources in one message; a single larger resource gets a message of its own. */
+export const maxResourceCharactersPerMessage = 256 * 1024;
+
+/** Most `config-resources` messages in one answer; bounds the work that one digest can cause. */
 export const maxMessagesPerAnswer = 16;
 
 export const digestMessageSchema = z.object({
@@ -40,8 +42,9 @@
 export const revisionsMessageSchema = z.object({
 	t: z.literal('config-revisions'),
 	/**
-	`range`: all keys from `first` on and below `end` (empty: no end) that the sender holds, sorted.
-	`listed`: the sender asks for these keys only.
+	`range`: `revisions` lists all keys of the sender's table from `first` (inclusive) to `end` (exclusive; empty: no upper
+	bound), sorted. The receiver also sends resources of that range that aren't listed.
+	`listed`: a request for newer revisions of the listed keys only.
 	*/
 	scope: z.enum(['range', 'listed']),
 	first: z.string().max(128).default(''),
@@ -69,7 +72,7 @@
 	return {t: 'config-digest', ...table.digest()};
 }
 
-/** Takes a peer's message into the table and returns what to answer that peer. */
+/** Applies a peer's message to the table and returns the messages to send back to that peer. */
 export function answerExchange(
 	table: ResourceTable,
 	message: ExchangeMessage,
@@ -93,7 +96,7 @@
 	}
 }
 
-/** Puts resources into as few messages as their bounds allow; one alone may be larger. */
+/** Splits resources, in order, into messages within the bounds; a resource larger than the bound goes alone. */
 export function buildResourceMessages(
 	resources: readonly Resource[],
 ): ExchangeMessage[] {
@@ -105,7 +108,7 @@
 		const fits =
 			last !== undefined &&
 			last.resources.length < maxResourcesPerMessage &&
-			characters + size <= maxResourceCharacters;
+			characters + size <= maxResourceCharactersPerMessage;
 		if (fits) {
 			last.resources.push(resource);
 			characters += size;
@@ -122,22 +125,22 @@
 	table: ResourceTable,
 	{revision, hash}: DigestMessage,
 ): ExchangeMessage[] {
-	const own = table.digest();
-	if (own.hash === hash) {
+	const ownDigest = table.digest();
+	if (ownDigest.hash === hash) {
 		return [];
 	}
 
-	if (own.revision < revision) {
+	if (ownDigest.revision < revision) {
 		return [buildDigest(table)];
 	}
 
-	return own.revision > revision
-		? buildNewerThan(table, revision)
-		: buildAllRevisions(table);
+	return ownDigest.revision > revision
+		? buildResourcesNewerThan(table, revision)
+		: buildRevisionMessages(table);
 }
 
-/** In the order of revisions, so that a peer which got only a part asks on from there. */
-function buildNewerThan(
+/** Sorted by revision, so that the highest revision of a peer that got only the first messages says where to continue. */
+function buildResourcesNewerThan(
 	table: ResourceTable,
 	revision: number,
 ): ExchangeMessage[] {
@@ -147,7 +150,7 @@
 	return buildResourceMessages(newer).slice(0, maxMessagesPerAnswer);
 }
 
-function buildAllRevisions(table: ResourceTable): ExchangeMessage[] {
+function buildRevisionMessages(table: ResourceTable): ExchangeMessage[] {
 	const keys = table.listKeys();
 	const messages: RevisionsMessage[] = [];
 	for (let start = 0; start < keys.length; start += maxRevisionsPerMessage) {
@@ -159,7 +162,7 @@
 			end: keys[end] ?? '',
 			revisions: keys
 				.slice(start, end)
-				.map((key) => ({key, revision: readRevision(table, key)})),
+				.map((key) => ({key, revision: getRevision(table, key)})),
 		});
 	}
 
@@ -170,22 +173,22 @@
 	table: ResourceTable,
 	message: RevisionsMessage,
 ): ExchangeMessage[] {
-	const theirs = new Map(
+	const peerRevisions = new Map(
 		message.revisions.map(({key, revision}) => [key, revision] as const),
 	);
-	const newer = listScope(table, message)
-		.filter((key) => readRevision(table, key) > (theirs.get(key) ?? 0))
-		.map((key) => table.readEntry(key)!);
-	const wanted = message.revisions
-		.map(({key}) => ({key, revision: readRevision(table, key)}))
-		.filter(({key, revision}) => revision < theirs.get(key)!);
+	const newer = listKeysInScope(table, message)
+		.filter((key) => getRevision(table, key) > (peerRevisions.get(key) ?? 0))
+		.map((key) => table.findEntry(key)!);
+	const outdated = message.revisions
+		.map(({key}) => ({key, revision: getRevision(table, key)}))
+		.filter(({key, revision}) => revision < peerRevisions.get(key)!);
 	return [
 		...buildResourceMessages(newer).slice(0, maxMessagesPerAnswer),
-		...buildWanted(wanted),
+		...buildRevisionRequest(outdated),
 	];
 }
 
-function buildWanted(revisions: KeyRevision[]): ExchangeMessage[] {
+function buildRevisionRequest(revisions: KeyRevision[]): ExchangeMessage[] {
 	return revisions.length === 0
 		? []
 		: [
@@ -199,8 +202,8 @@
 			];
 }
 
-/** The keys that a peer's list is about. */
-function listScope(
+/** The keys that a peer's `config-revisions` message covers. */
+function listKeysInScope(
 	table: ResourceTable,
 	{scope, first, end, revisions}: RevisionsMessage,
 ): string[] {
@@ -210,16 +213,16 @@
 
 	const keys = table.listKeys();
 	return keys.slice(
-		findPosition(keys, first),
-		end === '' ? undefined : findPosition(keys, end),
+		findFirstKeyIndex(keys, first),
+		end === '' ? undefined : findFirstKeyIndex(keys, end),
 	);
 }
 
 /**
-The index of the first key that is not below the given one. Halving: a list of many thousand
-keys comes in parts, and going through the whole table for each would stall the loop.
+Index of the first key that is not below the given one, by binary search. A list of many thousand
+keys arrives in many messages; a linear scan of the table for each would block the event loop.
 */
-function findPosition(keys: readonly string[], key: string): number {
+function findFirstKeyIndex(keys: readonly string[], key: string): number {
 	let low = 0;
 	let high = keys.length;
 	while (low < high) {
@@ -234,11 +237,11 @@
 	return low;
 }
 
-/** 0: unknown. */
-function readRevision(table: ResourceTable, key: string): number {
-	return table.readEntry(key)?.revision ?? 0;
+/** 0 if the key is unknown. */
+function getRevision(table: ResourceTable, key: string): number {
+	return table.findEntry(key)?.revision ?? 0;
 }
 
 function listEntries(table: ResourceTable): Resource[] {
-	return table.listKeys().map((key) => table.readEntry(key)!);
+	return table.listKeys().map((key) => table.findEntry(key)!);
 }
--- a/packages/protocol/src/connection.ts
+++ b/packages/protocol/src/connection.ts
@@ -1,5 +1,6 @@
 /**
-One connection between two hosts: frames, batching, heartbeat bookkeeping.
+One TCP connection between two hosts: framing, batching of sent messages, validation of received ones, and the time
+of the last received bytes, from which the mesh detects silent peers.
 */
 import {type Buffer} from 'node:buffer';
 import {type Socket} from 'node:net';
@@ -7,21 +8,22 @@
 import {encodeFrame, FrameReader} from './frame.js';
 import {messageSchema, type Hello, type Message} from './messages.js';
 
-/** Bytes waiting to be sent on one connection above which the peer counts as stuck. */
+/** A connection with more bytes than this in its send buffer is closed: the peer no longer reads. */
 const maxUnsentBytes = 128 * 1024 * 1024;
 
-/** How long an ended connection may take to close, milliseconds. */
-const endLimitMs = 1000;
+/** A connection that is closed gracefully is destroyed after this long without activity on its socket. */
+const gracefulCloseTimeoutMs = 1000;
 
 export type Meter = {
-	/** A frame went out or came in. */
+	/** Called once a frame that was sent, or received and validated. */
 	countFrame: (
 		direction: 'in' | 'out',
 		messages: ReadonlyArray<{t: string}>,
 	) => void;
 	countBytesOut: (bytes: number) => void;
-	/** Bytes came in, of whole frames or parts of them. */
+	/** Called for each chunk received, which may end within a frame. */
 	countBytesIn: (bytes: number) => void;
+	/** `reason`: a code such as `unknown-message` or `no-hello`; the connection is then closed. */
 	countBadFrame: (reason: string) => void;
 };
 
@@ -30,15 +32,15 @@
 	onClose: (reason: string) => void;
 };
 
-/** A framed connection. `send` batches: all messages of one loop turn travel in one frame. */
+/** `send` batches: all messages that are sent in one turn of the event loop go into one frame. */
 export class Connection {
-	/** Set by the first message. */
+	/** Meant for the peer's `hello`; nothing sets it, as the mesh keeps the `hello` in its links and sessions. */
 	peer: Hello | undefined;
-	/** Monotonic milliseconds. */
-	lastHeardAt = performance.now();
+	/** When bytes last arrived, or when the connection was created: `performance.now()`, milliseconds. */
+	lastReceivedAt = performance.now();
 	readonly #reader = new FrameReader();
 	#batch: Message[] = [];
-	#closed = false;
+	#isClosed = false;
 
 	constructor(
 		private readonly socket: Socket,
@@ -56,11 +58,11 @@
 	}
 
 	get isClosed(): boolean {
-		return this.#closed;
+		return this.#isClosed;
 	}
 
 	send(message: Message): void {
-		if (this.#closed) {
+		if (this.#isClosed) {
 			return;
 		}
 
@@ -73,9 +75,9 @@
 		this.#batch.push(message);
 	}
 
-	/** Sends what waits, now. */
+	/** Sends the batched messages without waiting for the end of the event-loop turn. */
 	flush(): void {
-		if (this.#closed || this.#batch.length === 0) {
+		if (this.#isClosed || this.#batch.length === 0) {
 			return;
 		}
 
@@ -90,21 +92,22 @@
 		}
 	}
 
-	/** Sends what waits, then closes in order: the peer gets all of it. */
+	/** Closes gracefully: sends the batched messages and then FIN, so that the peer can read all of them. */
 	end(): void {
 		this.flush();
 		this.socket.end();
-		this.socket.setTimeout(endLimitMs, () => {
+		this.socket.setTimeout(gracefulCloseTimeoutMs, () => {
 			this.close('ended');
 		});
 	}
 
+	/** Destroys the socket at once; batched messages are lost. `onClose` is called once, also if `close` is called again. */
 	close(reason: string): void {
-		if (this.#closed) {
+		if (this.#isClosed) {
 			return;
 		}
 
-		this.#closed = true;
+		this.#isClosed = true;
 		this.socket.destroy();
 		this.handlers.onClose(reason);
 	}
@@ -113,20 +116,20 @@
 		this.meter.countBytesIn(chunk.length);
 		const frames = this.#reader.readFrames(chunk);
 		if (frames.isErr()) {
-			this.#refuse(frames.error.code);
+			this.#closeForBadFrame(frames.error.code);
 			return;
 		}
 
-		this.lastHeardAt = performance.now();
+		this.lastReceivedAt = performance.now();
 		for (const frame of frames.value) {
-			const messages = this.#check(frame);
+			const messages = this.#parseMessages(frame);
 			if (!messages) {
 				return;
 			}
 
 			this.meter.countFrame('in', messages);
 			for (const message of messages) {
-				if (this.#closed) {
+				if (this.#isClosed) {
 					return;
 				}
 
@@ -135,12 +138,12 @@
 		}
 	}
 
-	#check(frame: unknown[]): Message[] | undefined {
+	#parseMessages(frame: unknown[]): Message[] | undefined {
 		const messages: Message[] = [];
 		for (const item of frame) {
 			const parsed = messageSchema.safeParse(item);
 			if (!parsed.success) {
-				this.#refuse('unknown-message');
+				this.#closeForBadFrame('unknown-message');
 				return undefined;
 			}
 
@@ -150,7 +153,7 @@
 		return messages;
 	}
 
-	#refuse(reason: string): void {
+	#closeForBadFrame(reason: string): void {
 		this.meter.countBadFrame(reason);
 		this.close(reason);
 	}
--- a/packages/protocol/src/frame.ts
+++ b/packages/protocol/src/frame.ts
@@ -1,66 +1,70 @@
 /**
-Frames on the wire between hosts: a 4-byte big-endian length, then one CBOR array of messages.
+Wire format between hosts: each frame is a 4-byte big-endian length of the body, then the body, one CBOR array
+of messages.
 */
 import {Buffer} from 'node:buffer';
 import {Decoder, Encoder} from 'cbor-x/index-no-eval';
 import {err, ok, type Result} from 'neverthrow';
 
-/** Largest frame, bytes: a forwarded submission or answer at its limit, with room to spare. */
+/** Largest body of a frame. A forwarded submission or answer of the largest permitted size fits with a margin. */
 export const maxFrameBytes = 40 * 1024 * 1024;
 
-const lengthBytes = 4;
+const lengthPrefixBytes = 4;
 
 export type FrameError = {
 	code: 'oversized-frame' | 'malformed-frame';
 	message: string;
 };
 
-const options = {
+const cborOptions = {
 	useRecords: false,
 	mapsAsObjects: true,
 	variableMapSize: true,
 } as const;
-const encoder = new Encoder(options);
-const decoder = new Decoder(options);
+const encoder = new Encoder(cborOptions);
+const decoder = new Decoder(cborOptions);
 
-/** Packs one loop turn's messages into one frame. */
+/** Encodes messages as one frame, including its length prefix. */
 export function encodeFrame(messages: readonly unknown[]): Buffer {
 	const body = encoder.encode(messages);
-	const frame = Buffer.allocUnsafe(lengthBytes + body.length);
+	const frame = Buffer.allocUnsafe(lengthPrefixBytes + body.length);
 	frame.writeUInt32BE(body.length, 0);
-	frame.set(body, lengthBytes);
+	frame.set(body, lengthPrefixBytes);
 	return frame;
 }
 
 /**
-Takes the bytes of one connection as they come and yields the messages of whole frames.
-An oversized length is refused before anything of that size is kept, so that garbage on the
-port cannot make a host reserve memory.
+Reassembles the frames of one connection from its byte stream and decodes their messages.
+A length above `maxFrameBytes` is an error as soon as the prefix is read, before the body is buffered:
+otherwise a client that sends arbitrary bytes to the port could make the host run out of memory.
 */
 export class FrameReader {
 	#chunks: Buffer[] = [];
-	#size = 0;
+	#bufferedBytes = 0;
 
-	/** Adds bytes; returns each whole frame's messages, or why the connection must be closed. */
+	/**
+	Appends received bytes. Returns the messages of each frame that is now complete, one array a frame.
+	After an error the stream can't be resynchronised: the caller must close the connection.
+	*/
 	readFrames(chunk: Buffer): Result<unknown[][], FrameError> {
 		this.#chunks.push(chunk);
-		this.#size += chunk.length;
+		this.#bufferedBytes += chunk.length;
 		const frames: unknown[][] = [];
-		while (this.#size >= lengthBytes) {
-			const length = this.#peekLength();
+		while (this.#bufferedBytes >= lengthPrefixBytes) {
+			const length = this.#peekBodyLength();
 			if (length > maxFrameBytes) {
 				return err({
 					code: 'oversized-frame',
-					message: `a frame of ${length} bytes; at most ${maxFrameBytes}`,
+					message: `frame body of ${length} bytes exceeds the limit of ${maxFrameBytes} bytes`,
 				});
 			}
 
-			if (this.#size < lengthBytes + length) {
+			if (this.#bufferedBytes < lengthPrefixBytes + length) {
 				break;
 			}
 
 			const messages = decodeBody(
-				this.#take(lengthBytes + length).subarray(lengthBytes),
+				this.#takeBytes(lengthPrefixBytes + length).subarray(lengthPrefixBytes),
 			);
 			if (messages.isErr()) {
 				return err(messages.error);
@@ -72,21 +76,21 @@
 		return ok(frames);
 	}
 
-	#peekLength(): number {
-		if (this.#chunks[0]!.length < lengthBytes) {
-			this.#join();
+	#peekBodyLength(): number {
+		if (this.#chunks[0]!.length < lengthPrefixBytes) {
+			this.#joinChunks();
 		}
 
 		return this.#chunks[0]!.readUInt32BE(0);
 	}
 
-	#take(size: number): Buffer {
+	#takeBytes(size: number): Buffer {
 		if (this.#chunks[0]!.length < size) {
-			this.#join();
+			this.#joinChunks();
 		}
 
 		const first = this.#chunks[0]!;
-		this.#size -= size;
+		this.#bufferedBytes -= size;
 		if (first.length === size) {
 			this.#chunks.shift();
 		} else {
@@ -96,7 +100,7 @@
 		return first.subarray(0, size);
 	}
 
-	#join(): void {
+	#joinChunks(): void {
 		this.#chunks = [Buffer.concat(this.#chunks)];
 	}
 }
@@ -106,11 +110,15 @@
 		const value: unknown = decoder.decode(body);
 		return Array.isArray(value)
 			? ok(value as unknown[])
-			: err({code: 'malformed-frame', message: 'a frame that is no array'});
+			: err({
+					code: 'malformed-frame',
+					message: 'frame body is not a CBOR array',
+				});
 	} catch (error) {
 		return err({
 			code: 'malformed-frame',
-			message: error instanceof Error ? error.message : 'not CBOR',
+			message:
+				error instanceof Error ? error.message : 'frame body is not valid CBOR',
 		});
 	}
 }
