--- a/packages/configuration/src/exchange.test.ts
+++ b/packages/configuration/src/exchange.test.ts
@@ -45,7 +45,7 @@
 		runExchange(b, a);
 	}
 
-	assert.deepEqual(a.digest(), b.digest());
+	assert.deepEqual(a.computeDigest(), b.computeDigest());
 }
 
 test('hosts with equal tables exchange a single digest', () => {
--- a/packages/configuration/src/exchange.ts
+++ b/packages/configuration/src/exchange.ts
@@ -69,7 +69,7 @@
 type KeyRevision = z.infer<typeof keyRevisionSchema>;
 
 export function buildDigest(table: ResourceTable): DigestMessage {
-	return {t: 'config-digest', ...table.digest()};
+	return {t: 'config-digest', ...table.computeDigest()};
 }
 
 /** Applies a peer's message to the table and returns the messages to send back to that peer. */
@@ -125,7 +125,7 @@
 	table: ResourceTable,
 	{revision, hash}: DigestMessage,
 ): ExchangeMessage[] {
-	const ownDigest = table.digest();
+	const ownDigest = table.computeDigest();
 	if (ownDigest.hash === hash) {
 		return [];
 	}
--- a/packages/configuration/src/table.ts
+++ b/packages/configuration/src/table.ts
@@ -45,7 +45,7 @@
 	findEntry: (key: string) => Resource | undefined;
 	/** All keys, tombstones included, sorted. */
 	listKeys: () => string[];
-	digest: () => Digest;
+	computeDigest: () => Digest;
 	/** Calls the listener for each resource that is stored, tombstones included; returns a function that unsubscribes. */
 	subscribe: (listener: ResourceListener) => () => void;
 };
@@ -140,7 +140,7 @@
 			sortedKeys ??= [...entries.keys()].toSorted();
 			return sortedKeys;
 		},
-		digest: () => ({
+		computeDigest: () => ({
 			revision: maxRevision,
 			hash: hashSum.toString(16).padStart(hashDigits, '0'),
 		}),
--- a/packages/host/src/configuration.ts
+++ b/packages/host/src/configuration.ts
@@ -67,7 +67,7 @@
 		// A peer that holds the same has nothing to tell: this host knows what there is to know.
 		this.#isLoaded ||=
 			data.t === 'config-digest' &&
-			data.hash === this.#options.table.digest().hash;
+			data.hash === this.#options.table.computeDigest().hash;
 		this.#isFromPeer = true;
 		const answers = answerExchange(this.#options.table, data);
 		this.#isFromPeer = false;
--- a/packages/host/src/mesh-handlers.ts
+++ b/packages/host/src/mesh-handlers.ts
@@ -65,7 +65,7 @@
 	statuses,
 }: MeshParts): MeshHandlers {
 	return {
-		onBeat,
+		onHeartbeat: onBeat,
 		onLinkUp(link) {
 			logger.info({peer: link.key}, 'link up');
 			directory.markLinkUp(link, findAddress(link.key));
--- a/packages/host/src/scheduling/faulty/faulty-network.fixture.ts
+++ b/packages/host/src/scheduling/faulty/faulty-network.fixture.ts
@@ -3,8 +3,8 @@
 order, after a millisecond; connections can break, go silent, or delay messages.
 */
 import {
-	silenceMs,
-	silentReason,
+	silenceTimeoutMs,
+	silentCloseReason,
 	type Link,
 	type Message,
 	type Session,
@@ -95,8 +95,8 @@
 		}
 
 		connection.isSilent = true;
-		this.clock.schedule(silenceMs + silenceCheckMs, () => {
-			connection.close(silentReason);
+		this.clock.schedule(silenceTimeoutMs + silenceCheckMs, () => {
+			connection.close(silentCloseReason);
 			this.clock.schedule(redialDelayMs, () => {
 				this.connect();
 			});
--- a/packages/host/src/scheduling/scheduling-handlers.ts
+++ b/packages/host/src/scheduling/scheduling-handlers.ts
@@ -2,8 +2,8 @@
 Passes each message between scheduling hosts to the component that handles it.
 */
 import {
-	silenceMs,
-	silentReason,
+	silenceTimeoutMs,
+	silentCloseReason,
 	type Ends,
 	type Message,
 	type MeshHandlers,
@@ -45,7 +45,7 @@
 }: SchedulingHandlersOptions): MeshHandlers {
 	const {entry, groups, holding} = roles;
 	return {
-		onBeat() {
+		onHeartbeat() {
 			// Nothing is sent with the heartbeat: holders send their state more often.
 		},
 		onLinkUp(link) {
@@ -60,7 +60,7 @@
 		},
 		onLinkDown(link, reason) {
 			log('link down', {peer: link.key, reason});
-			const silentMs = reason === silentReason ? silenceMs : 0;
+			const silentMs = reason === silentCloseReason ? silenceTimeoutMs : 0;
 			entry.markLinkDown(link.key, link.hello.incarnation, now() - silentMs);
 			directory.markLinkDown(link, reason);
 		},
--- a/packages/host/src/scheduling/start-scheduling-host.ts
+++ b/packages/host/src/scheduling/start-scheduling-host.ts
@@ -325,10 +325,10 @@
 		const {address, cores, source, metrics, log} = this.#options;
 		return new Mesh({
 			self: {dataCentre, host, incarnation, address, cores},
-			source,
+			localAddress: source,
 			random: Math.random,
 			meter: createMeter(metrics),
-			pingMs: heartbeatIntervalMs,
+			pingIntervalMs: heartbeatIntervalMs,
 			handlers: createSchedulingHandlers({
 				directory: this.#directory,
 				roles: this.#roles,
--- a/packages/host/src/start-host.ts
+++ b/packages/host/src/start-host.ts
@@ -157,7 +157,7 @@
 		this.#owner = this.#createOwner(generations, options.createSource);
 		this.#router = this.#createRouter(generations);
 		this.#table.subscribe(() => {
-			this.#metrics.configRevision.set(this.#table.digest().revision);
+			this.#metrics.configRevision.set(this.#table.computeDigest().revision);
 			this.#slots.refresh();
 		});
 	}
@@ -259,7 +259,7 @@
 		const {inner, source} = this.#settings.addresses;
 		return new Mesh({
 			self: {dataCentre, host, incarnation, address: inner},
-			source,
+			localAddress: source,
 			random: this.#random,
 			meter: createMeter(this.#metrics),
 			handlers: createMeshHandlers({
@@ -374,7 +374,7 @@
 
 	#readStatus(): HostStatus {
 		return {
-			revision: this.#table.digest().revision,
+			revision: this.#table.computeDigest().revision,
 			isStopping: this.#stopping.signal.aborted,
 			activeJobs: this.#owner.activeJobs,
 			queuedTasks: this.#owner.queuedTasks,
--- a/packages/protocol/src/mesh.test.ts
+++ b/packages/protocol/src/mesh.test.ts
@@ -46,7 +46,7 @@
 			onSessionUp: doNothing,
 			onSessionDown: doNothing,
 			onRequest: doNothing,
-			onBeat: doNothing,
+			onHeartbeat: doNothing,
 			onLeaving: doNothing,
 			...handlers,
 		},
--- a/packages/protocol/src/mesh.ts
+++ b/packages/protocol/src/mesh.ts
@@ -4,7 +4,7 @@
 
 A firewall or NAT between two hosts can lose track of an open connection, or a host can freeze: the
 connection then stays open and no bytes arrive. Each ping is answered by a pong, and a connection without a
-received byte for `silenceMs` is closed and dialled again. This bounds how long a request can wait on a dead link.
+received byte for `silenceTimeoutMs` is closed and dialled again. This bounds how long a request can wait on a dead link.
 */
 import net from 'node:net';
 import {performance} from 'node:perf_hooks';
@@ -16,9 +16,9 @@
 /** Timer ticks a heartbeat interval; each tick closes silent connections and starts due dials. */
 const ticksPerPing = 5;
 /** A connection is closed when no bytes have arrived on it for this long. */
-export const silenceMs = 2000;
-/** Close reason of a connection without received bytes for `silenceMs`. */
-export const silentReason = 'silent';
+export const silenceTimeoutMs = 2000;
+/** Close reason of a connection without received bytes for `silenceTimeoutMs`. */
+export const silentCloseReason = 'silent';
 /** Time-out for establishing a TCP connection; also how long the connection of `sendGreeting` stays open. */
 const dialTimeoutMs = 1500;
 /**
@@ -52,7 +52,7 @@
 
 export type MeshHandlers = {
 	onLinkUp: (link: Link) => void;
-	/** `reason`: the connection's close reason, such as `silentReason`. */
+	/** `reason`: the connection's close reason, such as `silentCloseReason`. */
 	onLinkDown: (link: Link, reason: string) => void;
 	/** A message that the peer sent on a link, other than `hello` and `pong`. */
 	onReply: (link: Link, message: Message) => void;
@@ -61,7 +61,7 @@
 	/** A message that the peer sent on a session, other than `hello` and `ping`. */
 	onRequest: (session: Session, message: Message) => void;
 	/** Called right after the pings of each heartbeat: messages sent from it share the pings' frames. */
-	onBeat: () => void;
+	onHeartbeat: () => void;
 	/** Called for each `hello` of a link, `ping` and `pong`, whether or not `isLeaving` has changed. */
 	onLeaving: (key: string, isLeaving: boolean) => void;
 };
@@ -69,13 +69,13 @@
 export type MeshOptions = {
 	self: Omit<Hello, 't' | 'version' | 'isLeaving'>;
 	/** Local IP address that outgoing connections are bound to. */
-	source?: string;
+	localAddress?: string;
 	handlers: MeshHandlers;
 	meter: Meter;
 	/** Uniform in [0, 1). */
 	random: () => number;
-	/** Heartbeat interval; at most a third of `silenceMs`, so that two lost heartbeats don't close a connection. */
-	pingMs?: number;
+	/** Heartbeat interval; at most a third of `silenceTimeoutMs`, so that two lost heartbeats don't close a connection. */
+	pingIntervalMs?: number;
 };
 
 /** A host's key in maps: `<data centre>_<host>`, the same form as in issuers. */
@@ -109,7 +109,7 @@
 	readonly #pingIntervalMs: number;
 
 	constructor(private readonly options: MeshOptions) {
-		this.#pingIntervalMs = options.pingMs ?? defaultPingIntervalMs;
+		this.#pingIntervalMs = options.pingIntervalMs ?? defaultPingIntervalMs;
 		this.#server = net.createServer((socket) => {
 			this.#accept(socket);
 		});
@@ -187,7 +187,11 @@
 	*/
 	sendGreeting(address: string): void {
 		const [host, port] = splitAddress(address);
-		const socket = net.connect({host, port, localAddress: this.options.source});
+		const socket = net.connect({
+			host,
+			port,
+			localAddress: this.options.localAddress,
+		});
 		const connection = new Connection(
 			socket,
 			{
@@ -259,7 +263,7 @@
 		this.#tickCount += 1;
 		if (this.#tickCount % ticksPerPing === 0) {
 			this.#sendHeartbeats(now - this.#pingIntervalMs);
-			this.options.handlers.onBeat();
+			this.options.handlers.onHeartbeat();
 		}
 	}
 
@@ -270,14 +274,14 @@
 	*/
 	#extendSilenceLimits(now: number): void {
 		for (const connection of this.#listConnections()) {
-			connection.lastReceivedAt = now - silenceMs + pauseThresholdMs;
+			connection.lastReceivedAt = now - silenceTimeoutMs + pauseThresholdMs;
 		}
 	}
 
 	#closeSilentConnections(now: number): void {
 		for (const connection of this.#listConnections()) {
-			if (now - connection.lastReceivedAt > silenceMs) {
-				connection.close(silentReason);
+			if (now - connection.lastReceivedAt > silenceTimeoutMs) {
+				connection.close(silentCloseReason);
 			}
 		}
 	}
@@ -308,7 +312,11 @@
 
 	#dial(peer: Peer): void {
 		const [host, port] = splitAddress(peer.address);
-		const socket = net.connect({host, port, localAddress: this.options.source});
+		const socket = net.connect({
+			host,
+			port,
+			localAddress: this.options.localAddress,
+		});
 		const connection = new Connection(
 			socket,
 			{
--- a/packages/protocol/src/scheduling-messages.ts
+++ b/packages/protocol/src/scheduling-messages.ts
@@ -48,7 +48,7 @@
 number, which the entry increases each time it places the task. `ends` messages return the placement number. Thereby a
 repeated `part` isn't taken for a new placement, nor an end of an earlier placement for one of the current placement.
 */
-export const wantedTaskSchema = z.tuple([
+export const taskPlacementSchema = z.tuple([
 	count,
 	z.number().int().min(1),
 	count,
@@ -98,7 +98,7 @@
 	timeLeftMs: duration,
 	/** Unfinished tasks of the whole job; determines the job's position in the queue. */
 	remaining: count,
-	tasks: z.array(wantedTaskSchema),
+	tasks: z.array(taskPlacementSchema),
 	/** How often these tasks were returned because another group had free capacity. */
 	shifts: count,
 	/** Some of these tasks may still run under a previous holder of the group. */
--- a/packages/scheduling/src/claims.test.ts
+++ b/packages/scheduling/src/claims.test.ts
@@ -4,7 +4,7 @@
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {silenceMs} from '@gentianshift/protocol';
+import {silenceTimeoutMs} from '@gentianshift/protocol';
 import {findOverlaps} from './fake-executors.fixture.js';
 import {
 	createEntry,
@@ -162,7 +162,7 @@
 	scheduler.receivePart(entry, part);
 	await runFor(clock, 150, [[scheduler, entry]]);
 	assert.deepEqual(listOutcomes(entry), ['done']);
-	await runFor(clock, silenceMs + 200, [[scheduler, entry, []]]);
+	await runFor(clock, silenceTimeoutMs + 200, [[scheduler, entry, []]]);
 	scheduler.receivePart(entry, {...part, stateAt: clock.now, isMoved: true});
 	await runFor(clock, 300, [[scheduler, entry]]);
 	assert.equal(executors.runs.length, 1);
--- a/packages/scheduling/src/sent-ends.ts
+++ b/packages/scheduling/src/sent-ends.ts
@@ -2,11 +2,11 @@
 Ends that a scheduler has sent to entries recently. If the connection breaks before an end arrives, the entry sends
 its part again. The scheduler then repeats the end instead of starting the task again.
 */
-import {silenceMs, type TaskEnd} from '@gentianshift/protocol';
+import {silenceTimeoutMs, type TaskEnd} from '@gentianshift/protocol';
 import {formatTaskKey} from './run.js';
 
 /** How long a sent end is kept: until a broken connection is noticed (`silenceMs`) and opened again. */
-const sentEndLifetimeMs = silenceMs + 1000;
+const sentEndLifetimeMs = silenceTimeoutMs + 1000;
 
 export type SentEnds = {
 	remember: (
