--- a/packages/decisions/src/admission.ts
+++ b/packages/decisions/src/admission.ts
@@ -1,61 +1,64 @@
 /**
-Whether a job that arrives is let in, judged as a whole and at once.
+Decides whether an arriving job is admitted: the whole job at once, on arrival.
 */
 import {type JobState} from './job-state.js';
 import {type Refusal} from './lending.js';
 import {type TeamState} from './team-table.js';
 
-/** What admission looks at, gathered by the lender. */
+/** Input of the admission decision, computed from the keeper's state. */
 export type AdmissionView = {
-	/** Executors not leaving. */
+	/** Number of executors that are not leaving. */
 	executors: number;
-	/** Slots that may be lent here, and those that other data centres lend to jobs of here. */
+	/** Slots that this keeper may lend, plus those that other data centres lend to its jobs or have free. */
 	capacity: number;
-	/** Slots in use now. */
+	/** Slots lent by this keeper now. */
 	inUse: number;
-	/** Work of all waiting jobs, milliseconds of one slot. */
+	/** Work of all waiting jobs, in slot-milliseconds. */
 	waitingWorkMs: number;
 	waitingTasks: number;
-	/** Most tasks that may wait. */
+	/** Maximum number of waiting tasks. */
 	queueTasks: number;
-	/** Slots that the team can count on. */
+	/** Slots that the job's team can count on. */
 	share: number;
-	/** Learned run time of a task of the service, milliseconds. */
+	/** Mean run time of a task of the service, milliseconds: learned, or declared until then. */
 	taskMs: number;
-	/** Learned 99th percentile of it. */
+	/** 99th percentile of that run time, milliseconds. */
 	p99Ms: number;
-	/** False while the run time is only declared, or no task has ended for a while. */
+	/** False while only the declared run time is known, or if no task has ended for a while. */
 	isLearned: boolean;
 	now: number;
 };
 
-/** Declared run times are wrong by up to this factor: unlearned, a job gets the benefit of it. */
+/**
+Declared run times are wrong by up to this factor. Until run times are learned, estimates are divided
+by it, in favour of admitting the job.
+*/
 const declaredDoubt = 10;
 
 /**
-The wait of a job that comes is stretched by this, and that of a job already let in is not:
-between the two lies the room for run times that vary. With one margin, a waiting job that
-slipped past it would be protected no more, and all later ones would overtake it.
+The estimated wait of an arriving job is multiplied by this factor; that of an admitted job is not.
+The difference absorbs variation in run times. If both used the same factor, an admitted job that
+falls slightly behind would no longer be protected, and all later jobs would overtake it.
 */
 const waitingMargin = 1.4;
 
-/** The slowest of this many tasks takes about the 99th percentile. */
+/** The slowest of this many tasks runs for about the 99th percentile. */
 const tasksToP99 = 100;
 
-/** Bounds of "come back later", milliseconds: not at once, and not after all has drained. */
+/** Bounds of `retryAfterMs`: callers neither retry at once nor wait long after the queue has drained. */
 const leastRetryMs = 200;
 const longestRetryMs = 30_000;
 
 type Refused = Pick<Refusal, 'code' | 'retryAfterMs'>;
 
 /**
-Refuses a job that can't be served, else returns undefined.
+Returns the refusal of a job that can't be served in time, or undefined if the job is admitted.
 
-For full saturation: a job let in only to miss its deadline takes slots from jobs that could
-have made theirs, and at three times the capacity nearly all would miss. So a job comes in only
-if it can finish in time behind the work ranked ahead of it, and if no waiting job of its team
-that it would overtake then misses its own deadline. A refused caller is told at once, and when
-the queue will have room.
+Under overload, an admitted job that misses its deadline takes slots from jobs that could have met
+theirs; at three times the capacity nearly all jobs would miss. So a job is admitted only if it can
+finish in time behind the work ranked ahead of it, and if no waiting job of its team that it would
+overtake then misses its own deadline. A refused caller is told at once, and when the queue will have free
+capacity.
 */
 export function judgeAdmission(
 	job: JobState,
@@ -81,7 +84,7 @@
 
 type Doubted = {view: AdmissionView; doubt: number};
 
-/** By how much the job itself would miss its deadline; at most 0 if it would not. */
+/** Milliseconds by which the job itself would miss its deadline; zero or negative if it would not. */
 function estimateLateness(job: JobState, doubted: Doubted): number {
 	const {view, doubt} = doubted;
 	const workMs = job.demand.remaining * view.taskMs;
@@ -91,7 +94,7 @@
 	return waitingMargin * waitMs + tailMs - (job.deadlineAt - view.now);
 }
 
-/** Time until work of the team has gone through by the slots that it can count on. */
+/** Milliseconds until the team's slots have worked off `teamMs` and half of each running task. */
 function estimateWait(
 	{inUse}: TeamState,
 	{view, doubt}: Doubted,
@@ -102,8 +105,9 @@
 }
 
 /**
-How long the last task of a job takes: of many tasks the slowest counts. While nothing waits the
-mean is taken, so that a job isn't turned away from free slots for what may go wrong.
+Estimates how long the job's last task runs, milliseconds. The more tasks a job has, the closer its
+slowest one comes to the 99th percentile. While no job waits, the mean is used: otherwise a job
+could be refused although slots are free, only because one of its tasks might be slow.
 */
 function estimateTail(job: JobState, {view, doubt}: Doubted): number {
 	const isIdle = view.waitingWorkMs === 0;
@@ -123,7 +127,7 @@
 	return workMs;
 }
 
-/** By how much the new job would make one it overtakes miss its deadline; 0 if none. */
+/** Milliseconds by which the first overtaken job would miss its deadline because of the new job; 0 if none would. */
 function findHarm(job: JobState, doubted: Doubted): number {
 	const {view, doubt} = doubted;
 	const {items} = job.team.waiting;
@@ -144,7 +148,7 @@
 	return 0;
 }
 
-/** When the queue will have drained enough; never told to come at once or in the far future. */
+/** Milliseconds until a retry may succeed: half of the queue has drained, or the job's lateness has passed. Bounded. */
 function estimateRetry(view: AdmissionView, lateMs: number): number {
 	const halfQueueMs = view.waitingWorkMs / 2 / Math.max(1, view.capacity);
 	const retryMs = Math.max(lateMs, halfQueueMs, leastRetryMs);
--- a/packages/decisions/src/decide.ts
+++ b/packages/decisions/src/decide.ts
@@ -1,5 +1,5 @@
 /**
-The steps of one decision: let in or refuse, lend, call back, and name what is short.
+The steps of one decision: admit or refuse jobs, lend slots, recall slots, and list shortages.
 */
 import {judgeAdmission, type AdmissionView} from './admission.js';
 import {noteProbe, type ExecutorState} from './executor-health.js';
@@ -8,26 +8,26 @@
 import {type Grant, type Refusal, type Shortage} from './lending.js';
 import {chooseRecalls, chooseUnwanted} from './recall.js';
 
-/** Waiting jobs are looked through for deadlines out of reach this often, milliseconds. */
+/** How often waiting jobs are checked for deadlines that they can no longer meet. */
 const sweepEveryMs = 50;
 
-/** A job is put forward when it has this many times the time left that it needs alone. */
+/** A job becomes urgent when its time left is below this many times what it needs with its team's share. */
 const urgentMargin = 3;
 
-/** Back-off told to a job refused because its time ran out while it waited, milliseconds. */
+/** `retryAfterMs` of a job that is refused because its time ran out while it waited. */
 const sweptRetryMs = 1000;
 
 /**
-Recalls are chosen this often, and when a job comes in or executors change, milliseconds. The
-choice goes through all lent slots; at each of thousands of decisions a second it would cost more
-than all else, and a slot comes back some milliseconds after it is called anyway.
+How often recalls are chosen, besides whenever a job is admitted or the executors change. Choosing
+iterates over all lent slots. At thousands of decisions a second, doing so in each would cost more than
+everything else, and a recalled slot is returned only some milliseconds later anyway.
 */
 const recallEveryMs = 5;
 
-/** Most shortages named in one decision: the rest follows when these are settled. */
+/** Maximum number of shortages in one decision; the others follow when these are settled. */
 const mostShortages = 64;
 
-/** Judges the jobs that came since the last decision, best rank first. */
+/** Admits or refuses the jobs that arrived since the last decision, best rank first. */
 export function judgeNewcomers(state: KeeperState, now: number): Refusal[] {
 	const refusals: Refusal[] = [];
 	const newcomers = state.jobs.takeNewcomers();
@@ -80,8 +80,8 @@
 }
 
 /**
-Refuses waiting jobs of which nothing has started and whose deadline is out of reach by now.
-For a capacity that fell after they were let in: they'd take slots only to fail.
+Refuses waiting jobs that have no slot yet and can no longer meet their deadline. This happens when
+capacity drops after they were admitted; they would take slots only to fail.
 */
 export function sweepHopeless(state: KeeperState, now: number): Refusal[] {
 	if (now - state.sweptAt < sweepEveryMs) {
@@ -101,9 +101,9 @@
 }
 
 /**
-Puts jobs forward that will miss their deadline unless they get most of the slots from now on.
-For saturation: by least remaining work alone, a long job would be let in, lose its slots to
-each shorter one that comes, and fail at its deadline with half of its tasks done for nothing.
+Marks jobs as urgent that will miss their deadline unless they are served before others from now on.
+Under overload and ordered by least remaining work alone, an admitted long job would lose its slots to
+each shorter job that arrives, and miss its deadline with half of its tasks done for nothing.
 */
 function hastenUrgent(state: KeeperState, now: number): void {
 	const {jobs, pool} = state;
@@ -131,7 +131,7 @@
 	return !hasStarted && now + taskMs > job.deadlineAt;
 }
 
-/** Lends free slots, one at a time, each to the job that ranks best at that moment. */
+/** Lends free slots one at a time, each to the job that `TeamTable` picks at that moment. */
 export function grantSlots(state: KeeperState, now: number): Grant[] {
 	const grants: Grant[] = [];
 	const capacity = Math.max(1, state.pool.capacity);
@@ -172,7 +172,7 @@
 	return {owner, job: jobNumber, executor: executor.name, slot};
 }
 
-/** Calls back slots of executors that get nothing more, and slots that better work waits for. */
+/** Recalls slots of leaving or ejected executors, and slots that better-ranked jobs wait for. */
 export function recallSlots(state: KeeperState, now: number): LentSlot[] {
 	if (!state.hasNews && now - state.recalledAt < recallEveryMs) {
 		return [];
@@ -200,7 +200,7 @@
 	return [...unwanted, ...wanted];
 }
 
-/** Names the waiting jobs that other data centres may serve, if any has free slots. */
+/** Lists the waiting jobs that other data centres may serve; empty if none has free slots. */
 export function listShortages(state: KeeperState): Shortage[] {
 	if (state.remoteFree === 0) {
 		return [];
--- a/packages/decisions/src/executor-health.ts
+++ b/packages/decisions/src/executor-health.ts
@@ -1,62 +1,63 @@
 /**
-What is learned about one executor from how tasks on it ended, and how many of its slots are
-lent on account of it, compared with its peers.
+Health of executors: failure rate and speed are learned from how tasks ended, and compared with those of
+the peers. The result limits how many slots of each executor are lent. An executor that does much worse
+is ejected: it gets single probe tasks only, until they succeed.
 */
 import {type SlotOutcome} from './lending.js';
 
-/** Weight of the newest outcome in the rate of failures: three failures in a row pass one half. */
+/** Weight of the newest outcome in the failure rate: three failures in a row bring it above one half. */
 const failureWeight = 0.25;
 
-/** Rate of failures from which an executor is shut out, if its peers do much better. */
+/** Failure rate above which an executor is ejected, if its peers do much better. */
 const shutFailureRate = 0.5;
 
-/** How much worse than its peers a failing executor must be: all failing alike shut out nobody. */
+/** A failing executor is ejected only above this multiple of the median failure rate; if all fail alike, none is. */
 const shutFailureFactor = 3;
 
-/** Least weight of the newest run time in the learned speed. */
+/** Minimum weight of the newest run time in the learned speed. */
 const leastSpeedWeight = 0.05;
 
-/** Slowness below this factor is noise or mere wear: the executor keeps all its slots. */
+/** A `slowRatio` below this is noise or a minor slowdown: the executor keeps all its slots. */
 const slowFactor = 1.5;
 
-/** Samples needed before any judgement of speed. */
+/** Samples needed before an executor's speed is judged. */
 const leastSpeedSamples = 3;
 
-/** Strength of evidence for slowness: root of samples times the logarithm of the factor. */
+/** Evidence needed to treat an executor as slow: square root of the samples times log of `slowRatio`. */
 const slowEvidence = 2.5;
 
-/** Learned speed counts half at this many samples: run times of few tasks say little. */
+/** With this many samples the learned speed counts half: run times of few tasks say little. */
 const doubtedSamples = 4;
 
-/** Probes slower than this keep a shut-out executor shut. */
+/** An ejected executor stays ejected while its probes take this many times its peers' run times, or more. */
 const reopenFactor = 2.5;
 
-/** More samples than the learned speed remembers don't strengthen the evidence. */
+/** Samples beyond this don't strengthen the evidence: the learned speed no longer reflects older ones. */
 const rememberedSamples = 40;
 
-/** First wait before a shut-out executor is tried with one task, and the longest, milliseconds. */
+/** Shortest and longest wait before an ejected executor gets a probe task. */
 const firstProbeMs = 1000;
 const longestProbeMs = 32_000;
 
-/** Good probes in a row that open a shut-out executor again. */
+/** Consecutive successful probes after which an ejected executor is restored. */
 const probesToOpen = 2;
 
-/** Share of executors that may be shut out at once: the rest must carry the load. */
+/** Maximum share of executors that are ejected at once: the rest must carry the load. */
 const mostShutOut = 0.5;
 
 export type ExecutorState = {
 	readonly name: string;
 	slots: number;
 	isLeaving: boolean;
-	/** Slots lent or quarantined. */
+	/** Number of slots that are lent or quarantined. */
 	busy: number;
-	/** Slots that may be lent, by its health. */
+	/** Number of slots that may be lent given the executor's health. */
 	limit: number;
 	failureRate: number;
-	/** Logarithm of run time over the service's mean. */
+	/** Moving average of the logarithm of run time over the service's mean run time. */
 	slowness: number;
 	speedSamples: number;
-	/** Run time over that of the median peer. */
+	/** Run time relative to the median peer, drawn towards 1 while samples are few. */
 	slowRatio: number;
 	isShutOut: boolean;
 	probeAt: number;
@@ -86,7 +87,7 @@
 	};
 }
 
-/** Takes in how a task ended. `expectedMs` is the service's learned mean. */
+/** Records how a task ended. `expectedMs` is the service's learned mean run time. */
 export function noteOutcome(
 	executor: ExecutorState,
 	outcome: SlotOutcome,
@@ -117,12 +118,14 @@
 /**
 Sets how many slots of each executor may be lent.
 
-For one slow executor: its share of a job's tasks would end last and hold up every job, so it
-gets fewer slots, by the square of its slowness, and none but probes from about three times.
-For one that fails or refuses all it is given: it frees its slots first and would attract all
-work, so it is shut out and tried with one task at growing intervals (each failed trial costs a
-job). Judged against the median peer, and never more than half of them: when all fail alike the
-cause is elsewhere, and shutting out everything would turn a slow target into a dead one.
+- A slow executor would finish its part of each job last and delay every job. Its slots are divided by the
+  square of its slowness. When none would be left, from about three times the median run time for
+  executors with 8 slots, it is ejected.
+- An executor that fails or refuses all tasks has free slots sooner than the others and would attract all
+  work. It is ejected and probed with one task at growing intervals, as each failed probe costs a job.
+
+Executors are compared with the median peer, and at most half of them are ejected. If all fail alike, the
+cause is elsewhere, and ejecting all would make a slow target unavailable.
 */
 export function judgeExecutors(
 	executors: readonly ExecutorState[],
@@ -173,7 +176,7 @@
 		executor.isShutOut = true;
 		executor.goodProbes = 0;
 		executor.probeAt = now + executor.probeMs;
-		// Its speed is learned anew from the probes: old samples would outlive a recovery.
+		// The speed is learned again from the probes. Old samples would keep the executor ejected after it recovers.
 		executor.speedSamples = 0;
 		executor.slowness = 0;
 		executor.limit = 0;
@@ -206,7 +209,7 @@
 	);
 }
 
-/** Notes that a probe was sent: the next one waits twice as long. */
+/** Records that a probe was sent, and doubles the wait until the next one, up to the maximum. */
 export function noteProbe(executor: ExecutorState, now: number): void {
 	executor.probeMs = Math.min(executor.probeMs * 2, longestProbeMs);
 	executor.probeAt = now + executor.probeMs;
--- a/packages/decisions/src/executor-pool.ts
+++ b/packages/decisions/src/executor-pool.ts
@@ -1,5 +1,5 @@
 /**
-The executors of one target in one data centre: declared, judged by how they do, and picked.
+The executors of one target in one data centre: which are configured, how healthy they are, and which gets a task.
 */
 import {
 	createExecutorState,
@@ -9,17 +9,17 @@
 import {type LentExecutor} from './lending.js';
 import {hasFreeSlot, pickExecutor} from './placement.js';
 
-/** Executors are judged again at most this often, milliseconds, unless a task failed. */
+/** Minimum interval between health evaluations, unless a task failed or the executors changed. */
 const judgeEveryMs = 10;
 
 export class ExecutorPool {
 	readonly #executors = new Map<string, ExecutorState>();
-	/** Those that may get tasks. */
+	/** Executors that are not leaving. */
 	#active: ExecutorState[] = [];
 	#judgedAt = Number.NEGATIVE_INFINITY;
 	#capacity = 0;
 
-	/** Takes the declared executors; one that is gone counts as leaving until its slots are back. */
+	/** Replaces the configured executors. One that is no longer listed counts as leaving until its slots are released. */
 	set(executors: readonly LentExecutor[]): void {
 		const declared = new Set(executors.map(({name}) => name));
 		for (const state of this.#executors.values()) {
@@ -48,7 +48,7 @@
 		return this.#executors.get(name);
 	}
 
-	/** Enters an executor that only a borrower knows of: it gets nothing until declared. */
+	/** Adds an executor that only a borrower knows. It gets no tasks until `set` lists it. */
 	findOrEnter(name: string): ExecutorState {
 		const state =
 			this.#executors.get(name) ?? createExecutorState(name, 0, true);
@@ -72,12 +72,12 @@
 		return this.#active.length;
 	}
 
-	/** Slots that may be lent when none is; as judged last. */
+	/** Slots that may be lent in total when none is in use, as of the last evaluation. */
 	get capacity(): number {
 		return this.#capacity;
 	}
 
-	/** Slots that may be lent now; a due probe isn't counted. */
+	/** Slots that may be lent now, without probes that are due. */
 	countFree(now: number): number {
 		let free = 0;
 		for (const state of this.#active) {
@@ -98,7 +98,7 @@
 		return count;
 	}
 
-	/** When the next shut-out executor may be tried. */
+	/** Time at which the next ejected executor may be probed, on the keeper's clock; undefined if there is none. */
 	findNextProbe(): number | undefined {
 		let next: number | undefined;
 		for (const {isShutOut, busy, probeAt} of this.#active) {
--- a/packages/decisions/src/job-state.ts
+++ b/packages/decisions/src/job-state.ts
@@ -1,5 +1,5 @@
 /**
-A job as its keeper knows it, and the slots lent to it.
+A job as its keeper knows it, and the slots lent to the job.
 */
 import {type Demand} from './lending.js';
 import {type TeamState} from './team-table.js';
@@ -9,7 +9,7 @@
 	readonly owner: string;
 	readonly job: number;
 	readonly sequence: number;
-	/** Rank as a time on the keeper's clock: see `rankJob`. Fixed while the job is listed. */
+	/** Sort key: `rankJob` as a time on the keeper's clock, lower first. Must not change while the job is in its team's queue. */
 	order: number;
 	readonly team: TeamState;
 	demand: Demand;
@@ -17,21 +17,21 @@
 	readonly since: number;
 	deadlineAt: number;
 	isAdmitted: boolean;
-	/** Its deadline is near: it goes before all that isn't. */
+	/** The deadline is near: the job is served before all jobs that aren't urgent. */
 	isUrgent: boolean;
 	isListed: boolean;
-	/** What is left, milliseconds of one slot; in the team's sum while listed. */
+	/** Remaining work, slot-milliseconds. Included in the team's sum while the job is in the queue. */
 	workMs: number;
-	/** Lent slots for another data centre's keeper; never queued here. */
+	/** The job belongs to another data centre and only borrows slots here; it is never queued here. */
 	isForeign: boolean;
-	/** Slots granted since the job's start, by this keeper or, as told, by others. */
+	/** Slots granted since the job's start: by this keeper, and by others as far as reported. */
 	granted: number;
 	/** When `granted` last rose, on the keeper's clock. */
 	grantedAt: number;
-	/** Slots asked for elsewhere, until the answer or `shiftingUntil`. */
+	/** Slots requested from other keepers, until they answer or the request times out. */
 	shifting: number;
 	shiftingUntil: number;
-	/** Lent slots not yet called back. */
+	/** Lent slots, by number, that are not recalled. */
 	readonly held: Map<number, LentSlot>;
 };
 
@@ -43,14 +43,14 @@
 	readonly lentAt: number;
 	team: TeamState;
 	service: string;
-	/** Absent for a slot that a new keeper learned of before its job. */
+	/** Undefined while a new keeper knows the slot but not yet its job. */
 	job: JobState | undefined;
 	isRecalled: boolean;
-	/** Set when its owner died: free again from then on. */
+	/** Set when the owner is lost: the slot is free from this time on. */
 	quarantinedUntil: number | undefined;
 };
 
-/** Slots the job wants beyond those granted or being asked for elsewhere. */
+/** Number of slots that the job still wants, besides those granted or requested elsewhere. */
 export function countWanted(job: JobState): number {
 	return Math.max(0, job.demand.asked - job.granted - job.shifting);
 }
--- a/packages/decisions/src/job-table.ts
+++ b/packages/decisions/src/job-table.ts
@@ -1,26 +1,26 @@
 /**
-The jobs a keeper knows: those just come, those waiting for slots (listed by team and rank) and
-those that have all they asked for.
+The jobs that a keeper knows: new ones, those that wait for slots (queued by team and rank), and those that
+have all the slots they asked for.
 */
 import {countWanted, type JobState} from './job-state.js';
 import {type Demand} from './lending.js';
 import {ageingFactor} from './rank.js';
 import {TeamTable} from './team-table.js';
 
-/** Moves urgent jobs before all others in the order: longer than any job waits, milliseconds. */
+/** Subtracted from the sort key of urgent jobs: longer than any job waits, so that they precede all others. */
 const urgentLeadMs = 1e12;
 
-/** A grant is known to its owner within milliseconds; this many times a link's delay is plenty. */
+/** A grant that the owner doesn't report for this long is lost: grants normally arrive within milliseconds. */
 const grantLostMs = 1000;
 
-/** What an update needs to know of the keeper's state. */
+/** The parts of the keeper's state that ranking needs; `taskMs` is the service's estimated run time. */
 export type JobView = {now: number; taskMs: number; slots: number};
 
 export class JobTable {
 	readonly teams = new TeamTable();
 	waitingWorkMs = 0;
 	waitingTasks = 0;
-	/** Slots that jobs of here hold from other keepers. */
+	/** Slots that this keeper's jobs hold from other keepers. */
 	heldElsewhere = 0;
 	readonly #jobs = new Map<string, JobState>();
 	readonly #byOwner = new Map<string, Set<JobState>>();
@@ -35,7 +35,7 @@
 		return this.#jobs.size;
 	}
 
-	/** Enters a demand, or brings it up to date: the newest counts, as messages come in order. */
+	/** Adds a job or replaces its demand. Messages arrive in order, so the last demand is the newest. */
 	update(demand: Demand, view: JobView): JobState {
 		const {owner, job: number} = demand;
 		const job = this.lookUp(owner, number) ?? this.#enter(demand, view.now);
@@ -53,7 +53,7 @@
 		return job;
 	}
 
-	/** Enters a job of another data centre: it holds slots here and is never queued. */
+	/** Adds a job of another data centre. It holds slots here and is never queued. */
 	enterForeign(demand: Demand, view: JobView): JobState {
 		const present = this.lookUp(demand.owner, demand.job);
 		if (present) {
@@ -68,7 +68,7 @@
 		return job;
 	}
 
-	/** Takes the jobs that came since the last time, in the order of their rank. */
+	/** Returns and clears the jobs that arrived since the last call, best rank first. */
 	takeNewcomers(): JobState[] {
 		const newcomers = [...this.#newcomers].toSorted(
 			(a, b) => a.order - b.order || a.sequence - b.sequence,
@@ -86,7 +86,7 @@
 		this.relist(job);
 	}
 
-	/** Lists the job if it wants slots, takes it from the list if not. */
+	/** Adds the job to its team's queue if it wants slots, and removes it otherwise. */
 	relist(job: JobState): void {
 		const isWaiting = countWanted(job) > 0;
 		if (isWaiting === job.isListed) {
@@ -103,7 +103,7 @@
 		this.#count(job, 1);
 	}
 
-	/** Removes an ended job: a search in its team's sorted list, whatever else waits. */
+	/** Removes an ended job. The cost is a search in its team's sorted queue, regardless of other teams' queues. */
 	remove(job: JobState): void {
 		if (!this.#jobs.delete(formatJobKey(job.owner, job.job))) {
 			return;
@@ -130,7 +130,7 @@
 		}
 	}
 
-	/** Ranks all waiting jobs anew: what their order was worked out from has changed. */
+	/** Ranks all waiting jobs again after the figures behind their order have changed. */
 	rerank(viewOf: (demand: Demand) => JobView): void {
 		for (const job of this.listWaiting()) {
 			this.#unlist(job);
@@ -139,7 +139,7 @@
 		}
 	}
 
-	/** Works out the job's place in the order; it must not be listed. */
+	/** Computes the job's sort key. The job must not be in the queue meanwhile. */
 	rank(job: JobState, {taskMs, slots}: JobView): void {
 		job.workMs = job.demand.remaining * taskMs;
 		const overtakenMs = (ageingFactor * job.workMs) / Math.max(1, slots);
@@ -148,7 +148,7 @@
 			: job.since + overtakenMs;
 	}
 
-	/** Puts a waiting job before all that aren't urgent, the nearest deadline first. */
+	/** Moves a waiting job before all jobs that aren't urgent. Urgent jobs are ordered by deadline. */
 	hasten(job: JobState): void {
 		this.#unlist(job);
 		job.isUrgent = true;
@@ -209,10 +209,10 @@
 }
 
 /**
-Goes by the owner's count of granted slots where this keeper's can't be right. A grant can be
-lost: its link breaks just then, or another data centre's does. Counted here for ever, the job
-would wait for slots that never come, until its deadline. So a grant that the owner still doesn't
-know of after `grantLostMs` is taken for lost; one that comes later all the same is given back.
+Adopts the owner's count of granted slots where this keeper's count can't be right. A grant is lost if
+its connection, or another data centre's, breaks at that moment. If the keeper went on counting it,
+the job would wait until its deadline for slots that never come. So grants that the owner still
+doesn't report after the time-out count as lost; the owner gives back one that arrives later.
 */
 function settleGranted(job: JobState, {granted}: Demand, now: number): void {
 	if (granted === undefined) {
--- a/packages/decisions/src/keeper-state.ts
+++ b/packages/decisions/src/keeper-state.ts
@@ -1,5 +1,5 @@
 /**
-All that a keeper knows: jobs, executors, lent slots and learned run times.
+The state of a keeper: jobs, executors, lent slots and learned run times.
 */
 import {ExecutorPool} from './executor-pool.js';
 import {type JobState} from './job-state.js';
@@ -12,12 +12,12 @@
 const defaultLeaseMs = 1000;
 
 /**
-Without a sample for this long a learned run time is doubted: after a slow spell it could refuse
-all that comes, and then nothing would ever show that the spell is over.
+Without a sample for this long, a learned run time no longer counts as learned. Otherwise an estimate
+from a slow period could refuse all jobs, and no task would run to show that the period is over.
 */
 const staleEstimateMs = 5000;
 
-/** Waiting jobs are ranked anew when a run time or the capacity has changed by this factor. */
+/** Waiting jobs are ranked again when a mean run time or the capacity has changed by this factor. */
 const rerankFactor = 1.5;
 
 export class KeeperState {
@@ -27,16 +27,16 @@
 	readonly estimates = new Map<string, RunEstimate>();
 	readonly queueTasks: number;
 	readonly leaseMs: number;
-	/** Undefined: not told. */
+	/** Free slots in other data centres; undefined while unknown. */
 	remoteFree: number | undefined;
 	isRecovering = false;
-	/** A task failed since executors were judged. */
+	/** A task has failed since the executors were last evaluated. */
 	hasFailures = false;
 	sweptAt = Number.NEGATIVE_INFINITY;
 	recalledAt = Number.NEGATIVE_INFINITY;
-	/** Jobs came in, or executors changed: slots may have to be called back at once. */
+	/** Jobs were admitted or executors changed: recalls are chosen at once instead of at the next interval. */
 	hasNews = false;
-	/** What the waiting jobs' order was worked out from. */
+	/** Mean run time by service with which the waiting jobs were last ranked, milliseconds. */
 	readonly #rankedBy = new Map<string, number>();
 	#rankedSlots = 0;
 
@@ -46,7 +46,7 @@
 		this.leaseMs = leaseMs ?? defaultLeaseMs;
 	}
 
-	/** Slots for jobs of here: of this keeper, lent by others, and known to be free elsewhere. */
+	/** Slots available to this keeper's jobs: its own, those lent by other keepers, and those free elsewhere. */
 	get capacity(): number {
 		return (
 			this.pool.capacity + (this.remoteFree ?? 0) + this.jobs.heldElsewhere
@@ -63,7 +63,7 @@
 		};
 	}
 
-	/** Whether the service's run time may be relied on. */
+	/** Whether the service's run time is learned and its last sample is recent. */
 	isLearned(service: string, now: number): boolean {
 		const estimate = this.estimates.get(service);
 		const lastAt = estimate?.lastSampleAt ?? Number.NEGATIVE_INFINITY;
@@ -71,8 +71,8 @@
 	}
 
 	/**
-	Ranks waiting jobs anew when run times turned out otherwise. For declarations wrong by ten
-	times: jobs ranked and counted by them would stand before or behind all later ones.
+	Ranks the waiting jobs again when run times or the capacity have changed much. Declared run times can be
+	wrong by ten times; jobs ranked and counted by them would stay ahead of or behind all later ones.
 	*/
 	rerankIfChanged(now: number): void {
 		const {capacity} = this.pool;
@@ -93,7 +93,7 @@
 		this.jobs.rerank((demand) => this.viewJob(demand, now));
 	}
 
-	/** Forgets another data centre's job that has given back its last slot. */
+	/** Removes another data centre's job once its last slot is released. */
 	dropIfSpent(job: JobState | undefined): void {
 		if (job?.isForeign && job.held.size === 0) {
 			this.jobs.remove(job);
--- a/packages/decisions/src/lender.test.ts
+++ b/packages/decisions/src/lender.test.ts
@@ -42,9 +42,9 @@
 	assert.equal(lender.decide(1).grants.length, 0);
 });
 
-test('a late release of a slot lent again since changes nothing', () => {
-	// An owner's release is sent twice over a broken connection. If the second one freed the slot
-	// that another job has by now, two tasks would meet on it.
+test('a repeated release of a slot that has been lent again is ignored', () => {
+	// An owner sends a release twice because its connection broke. If the second release freed the slot,
+	// which another job holds by then, the executor would run two tasks on it.
 	const lender = makeLender({slots: 1});
 	lender.demand(makeDemand(), 0);
 	const [first] = lender.decide(0).grants;
@@ -57,9 +57,9 @@
 	assert.equal(lender.decide(101).grants.length, 0);
 });
 
-test('slots of a dead owner stay out until its tasks must have ended', () => {
-	// A host dies with tasks under way: the executors go on with them. Lent again at once, its
-	// slots would carry two tasks, and callers would see refused or slow tasks.
+test('slots of a lost owner are not lent until its tasks must have ended', () => {
+	// A host dies while its tasks run, and the executors continue them. If its slots were lent again at once,
+	// they would get a second task, and callers would see refused or slow tasks.
 	const lender = makeLender({slots: 1});
 	lender.demand(makeDemand(), 0);
 	lender.decide(0);
@@ -71,9 +71,10 @@
 	assert.equal(lender.decide(3000).grants.length, 1);
 });
 
-// Guards against callers that wait for slots of a process that is known to start nothing any more: its host has been restarted.
-test('slots of a dead owner are lent once its tasks must have ended, if its host runs another process', () => {
-	const lender = makeLender({slots: 1});
+test('slots of a lost owner skip the lease if its host runs another process', () => {
+	// The owner's host has restarted, so the old process can start no more tasks. If its slots stayed
+	// quarantined for the lease too, callers would wait for them without need.
+const lender = makeLender({slots: 1});
 	lender.demand(makeDemand(), 0);
 	lender.decide(0);
 	const {forMs} = lender.dropOwner('mieres_m1.a', 10);
@@ -84,8 +85,8 @@
 	assert.equal(lender.decide(10 + runMs + 1).grants.length, 1);
 });
 
-test('a new keeper lends nothing until it knows what is lent', () => {
-	// The keeper died and another host takes over while tasks run on slots that it doesn't know.
+test('a new keeper lends nothing until it knows which slots are lent', () => {
+	// The keeper died, and another host takes over while tasks run on slots that the new keeper doesn't know.
 	const lender = makeLender({slots: 1});
 	lender.startRecovery(0);
 	lender.demand(makeDemand({owner: 'mieres_m2.b'}), 0);
@@ -97,7 +98,7 @@
 	assert.equal(lender.decide(2).grants.length, 1);
 });
 
-test('without executors a job is refused for good, past the bound for now', () => {
+test('a job is refused without a retry time if no executor exists, and with one if the queue is full', () => {
 	const lender = createLender({queueTasks: 10});
 	lender.demand(makeDemand(), 0);
 	const [impossible] = lender.decide(0).refusals;
@@ -110,7 +111,7 @@
 	assert.ok(overloaded!.retryAfterMs! >= 200);
 });
 
-test('a leaving executor gets nothing new and its slots are called back', () => {
+test('a leaving executor gets no new tasks and its slots are recalled', () => {
 	const lender = makeLender({executors: 2, slots: 1});
 	lender.demand(makeDemand({remaining: 10, asked: 10}), 0);
 	const {grants} = lender.decide(0);
@@ -130,7 +131,7 @@
 	assert.equal(lender.decide(100).grants.length, 0);
 });
 
-test('no more slots are called back than better work waits for', () => {
+test('no more slots are recalled than better-ranked jobs wait for', () => {
 	const lender = makeLender({slots: 8});
 	lender.demand(
 		makeDemand({remaining: 1000, asked: 1000, deadlineInMs: 60_000}),
@@ -149,7 +150,7 @@
 	assert.deepEqual([...new Set(grants.map(({job}) => job))], [2]);
 });
 
-test('slots asked for elsewhere are not granted here until the answer', () => {
+test('slots requested from another keeper are not granted here until it answers', () => {
 	const lender = makeLender({slots: 1});
 	lender.demand(makeDemand({remaining: 3, asked: 3}), 0);
 	const {shortages} = lender.decide(0);
@@ -160,7 +161,7 @@
 	assert.equal(lender.decide(3).shortages[0]!.count, 1);
 });
 
-test('another data centre is lent only what is free and not wanted here', () => {
+test('another data centre gets only slots that are free while no job waits here', () => {
 	const lender = makeLender({slots: 4});
 	const foreign = makeDemand({owner: 'tineo_t1.c', remaining: 9, asked: 9});
 	assert.equal(lender.shiftIn(foreign, 3, 0).length, 3);
@@ -169,7 +170,7 @@
 	assert.equal(lender.shiftIn(foreign, 3, 2).length, 0);
 });
 
-test('a quota is a hard cap', () => {
+test('a team never gets more slots than its quota', () => {
 	const lender = makeLender({slots: 8});
 	lender.setTeams(new Map([['cooks', {weight: 1, quota: 3}]]));
 	lender.demand(makeDemand({remaining: 8, asked: 8}), 0);
@@ -178,7 +179,7 @@
 	assert.equal(shortages.length, 0);
 });
 
-test('a cancelled job leaves the queue and gets nothing more', () => {
+test('a cancelled job leaves the queue and gets no more slots', () => {
 	const lender = makeLender({slots: 1});
 	lender.demand(makeDemand({remaining: 5, asked: 5}), 0);
 	const [grant] = lender.decide(0).grants;
@@ -189,9 +190,10 @@
 	assert.equal(lender.readState(10).free, 1);
 });
 
-test('slots granted over a link that broke just then are granted again', () => {
-	// Another data centre's keeper lends to an owner whose connection breaks at that moment. The
-	// home keeper hears "granted", the owner never does; its job waits for slots until it fails.
+test('slots whose grant was lost with the connection are granted again', () => {
+	// Another data centre's keeper grants slots to an owner whose connection breaks at that moment. The
+	// owner's keeper learns of the grant, but the owner never does: without the time-out its job would wait
+	// for these slots until its deadline.
 	const lender = makeLender();
 	const demand = makeDemand({granted: 0});
 	lender.demand(demand, 0);
--- a/packages/decisions/src/lender.ts
+++ b/packages/decisions/src/lender.ts
@@ -1,6 +1,7 @@
 /**
-The decisions of a keeper: it lends the slots of one target's executors in one data centre to the
-owners of jobs. State in, decisions out; it reads no clock and opens no socket.
+The decisions of a keeper. The keeper is the process that allocates the slots of one target's executors in
+one data centre; it lends them to the owners of jobs, the processes that run the jobs' tasks on them.
+Callers pass in all state and the time: this code reads no clock and opens no socket.
 */
 import {
 	grantSlots,
@@ -27,14 +28,14 @@
 } from './lending.js';
 import {groupRecalls} from './recall.js';
 
-/** Waiting jobs are looked at again this often if nothing happens, milliseconds. */
+/** Interval between decisions while jobs wait and no message arrives. */
 const lookEveryMs = 50;
 
-/** An answer from another data centre's keeper that takes longer than this is given up on. */
+/** Time-out for the answer of another data centre's keeper to a request for slots. */
 const shiftAnswerMs = 50;
 
 /**
-Makes the decisions of a keeper.
+Creates the decision state of one keeper. All times are in milliseconds on the caller's clock.
 
 @example
 const lender = createLender({firstSlot: 1});
@@ -48,7 +49,7 @@
 
 export class Lender {
 	readonly #state: KeeperState;
-	/** Jobs with demand at another keeper. */
+	/** Jobs with an unanswered request for slots at another keeper. */
 	readonly #shifting = new Set<JobState>();
 
 	constructor(options: LenderOptions) {
@@ -65,19 +66,19 @@
 		this.#state.jobs.teams.setShares(shares);
 	}
 
-	/** Tells how many slots other data centres have free: admission counts on them. */
+	/** Sets how many slots other data centres have free; admission counts them as capacity. */
 	setRemoteFree(slots: number): void {
 		this.#state.remoteFree = slots;
 	}
 
-	/** Takes a job's demand, new or brought up to date; the same one twice changes nothing. */
+	/** Adds a job or replaces its demand. Idempotent: the same demand again changes nothing. */
 	demand(demand: Demand, now: number): void {
 		const state = this.#state;
 		const job = state.jobs.update(demand, state.viewJob(demand, now));
 		state.slots.adopt(job);
 	}
 
-	/** The job ended or was cancelled: it leaves the queue. Its lent slots come back by release. */
+	/** Removes a job that ended or was cancelled. Its slots stay lent until they are released. */
 	withdraw(owner: string, job: number): void {
 		const state = this.#state.jobs.lookUp(owner, job);
 		if (state) {
@@ -86,7 +87,7 @@
 		}
 	}
 
-	/** Takes a slot back; one that isn't lent any more is ignored. */
+	/** Takes back a slot. A slot number that is no longer lent is ignored. */
 	release(slot: number, outcome: SlotOutcome, now: number): void {
 		const lent = this.#state.slots.lookUp(slot);
 		if (lent) {
@@ -96,7 +97,7 @@
 		}
 	}
 
-	/** Learns how a task ended on a slot that its owner keeps for the next one. */
+	/** Records how a task ended on a slot that its owner keeps for the next task. */
 	report(slot: number, outcome: SlotOutcome, now: number): void {
 		const lent = this.#state.slots.lookUp(slot);
 		if (!lent) {
@@ -113,10 +114,11 @@
 	}
 
 	/**
-	The owner died, or its connection did. Its tasks may still run at the executors: a slot lent again at
-	once would put two tasks on it, and the executor would queue or refuse one. So its slots stay out for
-	the lease, in which it may still start tasks unless its process is known to be gone, and the time
-	nearly all tasks end in.
+	Removes the jobs of an owner that died or lost its connection, and quarantines its slots. The owner's
+	tasks may still run on the executors. If such a slot were lent again at once, it would get two tasks,
+	and the executor would queue or refuse one. The quarantine lasts for the lease, during which the owner
+	may still start tasks (skipped if `isGone`: the owner's process is known to have ended), plus the 99th
+	percentile of the task run time.
 	*/
 	dropOwner(owner: string, now: number, isGone = false): QuarantinedSlots {
 		const {jobs, slots, estimates, leaseMs} = this.#state;
@@ -136,7 +138,10 @@
 		return quarantined;
 	}
 
-	/** A lost owner's process is known to be gone: it has started nothing more since it was dropped. Call once for an owner. */
+	/**
+	Shortens the quarantine of a dropped owner's slots by the lease, once its process is known to have ended
+	and so has started no task since `dropOwner`. Must be called only once for an owner: each call shortens it.
+	*/
 	noteGone(owner: string): void {
 		const {slots, leaseMs} = this.#state;
 		for (const lent of slots.listOwned(owner)) {
@@ -144,7 +149,7 @@
 		}
 	}
 
-	/** Starts as a new keeper: until all borrowers have told what they hold, nothing is lent. */
+	/** Starts the recovery of a new keeper: it lends nothing until `finishRecovery`, when all borrowers have reported their slots. */
 	startRecovery(_now: number): void {
 		this.#state.isRecovering = true;
 	}
@@ -153,7 +158,7 @@
 		this.#state.isRecovering = false;
 	}
 
-	/** Enters the slots that an owner has from an earlier keeper; those known are left alone. */
+	/** Restores the slots that an owner holds from an earlier keeper. Slots already known are not changed. */
 	restoreSlots(owner: string, held: readonly HeldSlot[], now = 0): void {
 		const {jobs, slots, pool} = this.#state;
 		slots.reconcile(owner, new Set(held.map(({slot}) => slot)), now);
@@ -176,8 +181,9 @@
 	}
 
 	/**
-	Grants a job of another data centre from slots free and not wanted here; never queues it.
-	Local work goes first, or a busy data centre would push its queue onto its neighbours.
+	Grants up to `count` slots to a job of another data centre, from slots that are free while no job waits
+	here. The job is never queued here. Local jobs go first: otherwise a busy data centre would move its
+	queue to its neighbours.
 	*/
 	shiftIn(demand: Demand, count: number, now: number): Grant[] {
 		const state = this.#state;
@@ -198,12 +204,12 @@
 		return grants;
 	}
 
-	/** What a job last told; undefined when it is unknown here. */
+	/** The job's last demand; undefined if the job is unknown here. */
 	readDemand(owner: string, job: number): Demand | undefined {
 		return this.#state.jobs.lookUp(owner, job)?.demand;
 	}
 
-	/** Notes that slots were asked for elsewhere: until the answer they aren't granted here too. */
+	/** Records a request for slots at another keeper: until the answer or its time-out, these aren't also granted here. */
 	startShift(owner: string, job: number, count: number, now: number): void {
 		const state = this.#state.jobs.lookUp(owner, job);
 		if (state) {
@@ -214,7 +220,7 @@
 		}
 	}
 
-	/** Takes the other keeper's answer: of `asked` slots it granted some. */
+	/** Applies the other keeper's answer: it granted `granted` of `asked` slots. */
 	settleShift(
 		owner: string,
 		job: number,
@@ -229,7 +235,7 @@
 		}
 	}
 
-	/** Decides on all that has changed: call it once for all messages of a loop turn. */
+	/** Decides on all changes so far. Call it once for all messages of one event-loop turn. */
 	decide(now: number): LendingDecisions {
 		const state = this.#state;
 		this.#settle(now);
@@ -249,7 +255,7 @@
 		return {grants, refusals, recalls, shortages};
 	}
 
-	/** When to decide again if nothing comes before; undefined: not at all. */
+	/** When to decide again if no message arrives before; undefined if there is nothing to wait for. */
 	nextDecisionAt(now: number): number | undefined {
 		const {jobs, slots, pool} = this.#state;
 		const isWaiting = jobs.waitingTasks > 0;
--- a/packages/decisions/src/lending.ts
+++ b/packages/decisions/src/lending.ts
@@ -1,33 +1,34 @@
 /**
-Types of the decisions of a slot keeper: which waiting job gets which executor's slot, which
-job is refused, which slots are called back. State in, decisions out; time is passed in.
+Types of the decisions of a keeper, the process that allocates the slots of one target's executors in one
+data centre: which waiting job gets which executor's slot, which job is refused, and which slots are
+recalled. Time is passed in.
 */
 
-/** A job's demand for slots, as its owner tells the keeper. Times in milliseconds. */
+/** A job's demand for slots, as its owner sends it to the keeper. Times in milliseconds. */
 export type Demand = {
-	/** The owner: `<data centre>_<host>.<incarnation>`. */
+	/** The process that runs the job: `<data centre>_<host>.<incarnation>`. */
 	owner: string;
-	/** The owner's own number of the job. */
+	/** Number of the job, unique for its owner. */
 	job: number;
 	service: string;
 	team: string;
 	/** Tasks not yet done, those running included. */
 	remaining: number;
 	/**
-	Slots asked for so far: those granted since the job's start, as the owner knows, and one for
-	each task that has no slot now. What was granted is subtracted, so that grants under way are
-	not asked for twice.
+	Slots asked for since the job's start: those granted so far, as the owner knows, and one for each
+	task without a slot now. The keeper subtracts the grants that it has made, so that grants in transit
+	are not made twice.
 	*/
 	asked: number;
-	/** What one task is thought to take (learned by the owner, else declared). */
+	/** Expected run time of one task: learned by the owner, else declared. */
 	taskMs: number;
 	/** Time left to the job's deadline. */
 	deadlineInMs: number;
 	/** Time the job has waited already. */
 	waitedMs: number;
-	/** Slots granted so far, as the owner knows: read by a keeper that meets the job first. */
+	/** Slots granted since the job's start, as the owner knows: the starting count of a keeper that doesn't know the job yet, and a correction for lost grants. */
 	granted?: number;
-	/** An earlier keeper let the job in: it isn't judged again. */
+	/** An earlier keeper admitted the job: admission is not checked again. */
 	isAdmitted?: boolean;
 	/** Slots that the job holds now from other keepers. */
 	heldElsewhere?: number;
@@ -36,10 +37,11 @@
 export type LentExecutor = {name: string; slots: number; isLeaving: boolean};
 export type TeamShare = {
 	weight: number;
-	/** Slots in this keeper's part of the quota. */ quota?: number;
+	/** Maximum number of slots at this keeper: its part of the team's quota. */
+		quota?: number;
 };
 
-/** How a task on a lent slot ended; `unused` when none was started. */
+/** How a task on a lent slot ended; `unused` if none was started. */
 export type SlotOutcome = {
 	result: 'done' | 'failed' | 'refused' | 'unknown' | 'unused';
 	runMs: number;
@@ -57,12 +59,15 @@
 	code: 'overloaded' | 'deadline' | 'impossible';
 	retryAfterMs?: number;
 };
-/** Asks an owner to give back slots as their tasks end, because better-ranked work waits. */
+/**
+Asks an owner to release slots as their tasks end: better-ranked jobs wait, or the executor is leaving or
+ejected.
+*/
 export type Recall = {owner: string; slots: number[]};
-/** Demand that other data centres may serve from free slots. */
+/** A number of slots that a job waits for and that other data centres may grant from free slots. */
 export type Shortage = {owner: string; job: number; count: number};
 
-/** Slots of a lost owner, and how long none of them is lent for, milliseconds. */
+/** Number of slots of a lost owner, and the longest time that one of them stays unlent, milliseconds. */
 export type QuarantinedSlots = {slots: number; forMs: number};
 
 export type LendingDecisions = {
@@ -72,15 +77,15 @@
 	shortages: Shortage[];
 };
 
-/** A slot lent by an earlier keeper, as its borrower tells the new one. */
+/** A slot lent by an earlier keeper, as its borrower reports it to the new one. */
 export type HeldSlot = {executor: string; slot: number; job: number};
 
 export type LenderOptions = {
-	/** First slot number; a new keeper of the same executors takes another range. */
+	/** First slot number. A new keeper of the same executors must use another range. */
 	firstSlot?: number;
-	/** Most tasks that may wait. */
+	/** Maximum number of waiting tasks. */
 	queueTasks?: number;
-	/** How long a borrower may go on after its last heartbeat, milliseconds. */
+	/** How long a borrower may use its slots after its last heartbeat, milliseconds. */
 	leaseMs?: number;
 };
 
@@ -88,13 +93,13 @@
 export type LenderState = {
 	/** Slots that may be lent now. */
 	free: number;
-	/** Slots that may be lent when all are free. */
+	/** Slots that may be lent in total when none is in use. */
 	slots: number;
 	queuedTasks: number;
-	/** Milliseconds of one slot. */
+	/** Work of the waiting jobs, slot-milliseconds. */
 	queuedWorkMs: number;
-	/** Rank of the best waiting job (`rankJob`); undefined when none waits. */
+	/** Rank of the best waiting job (`rankJob`); undefined if none waits. */
 	bestRank: number | undefined;
-	/** Leaving executors that still have lent slots. */
+	/** Number of leaving executors that still have lent slots. */
 	leaving: number;
 };
--- a/packages/decisions/src/load.fixture.ts
+++ b/packages/decisions/src/load.fixture.ts
@@ -39,7 +39,7 @@
 export type LoadPlan = {
 	random: Random;
 	count: number;
-	/** Slots kept busy on average, of those there are: 0.8 is 80% load. */
+	/** Average share of slots in use: 0.8 is 80% load. */
 	load: number;
 	slots: number;
 	medianTasks?: number;
@@ -52,7 +52,7 @@
 	declaredMs?: number;
 };
 
-/** Jobs that arrive at random moments (Poisson) at a rate that makes the load. */
+/** Jobs that arrive as a Poisson process, at the rate that gives `plan.load`. */
 export function makeJobs(plan: LoadPlan): JobPlan[] {
 	const {random, count, load, slots, teams = ['cooks'], dataCentres = 1} = plan;
 	const jobs = Array.from({length: count}, () => makeJob(plan));
@@ -94,7 +94,7 @@
 	return job.runMs.reduce((sum, runMs) => sum + runMs, 0);
 }
 
-/** Time over the time alone in an empty system; only for jobs that are done. */
+/** Response time divided by that in an empty system; only for jobs in state `done`. */
 export function measureRatio(
 	{plan, endedAt}: JobRecord,
 	slots: number,
--- a/packages/decisions/src/load.test.ts
+++ b/packages/decisions/src/load.test.ts
@@ -1,6 +1,6 @@
 /**
-What callers get under load, by a virtual clock. All seeds are fixed. The replay itself fails if
-an executor ever gets more tasks at once than it has slots.
+Response times and refusals under load, simulated on a virtual clock with fixed seeds. The replay itself
+fails if an executor ever gets more tasks at once than it has slots.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -28,7 +28,7 @@
 	return jobs.filter((job) => job.state === state).length;
 }
 
-/** Work until the last arrival, of jobs that ended whole, over what the slots could do. */
+/** Share of the slots' capacity until the last arrival that went into jobs that completed. */
 function measureGoodput({jobs}: ReplayReport): number {
 	const lastAt = Math.max(...jobs.map(({plan}) => plan.at));
 	let workMs = 0;
@@ -58,7 +58,7 @@
 	});
 }
 
-test('at 80% load jobs take little longer than alone, and grants are used', () => {
+test('at 80% load, jobs take little longer than in an empty system and few grants stay unused', () => {
 	const jobs = makeJobs({
 		random: seedRandom(11),
 		count: 2500,
@@ -73,7 +73,7 @@
 	assertAtMost(report.unusedGrants / report.starts, 0.005);
 });
 
-test('at three times the capacity slots do useful work, and few jobs let in fail', () => {
+test('at three times the capacity, slots do useful work and few admitted jobs miss their deadline', () => {
 	const report = new Replay({jobs: makeLoad(3, 3000), executors}).run();
 	assertAtLeast(measureGoodput(report), 0.95);
 	const admitted = countByState(report, 'done') + countByState(report, 'late');
@@ -83,7 +83,7 @@
 	assertAtMost(findPercentile(waits, 99), 50);
 });
 
-test('a burst far over the slots is served shortest first, and all of it', () => {
+test('a burst of far more work than slots completes, shortest jobs first', () => {
 	const random = seedRandom(3);
 	const jobs = Array.from({length: 200}, () =>
 		makeJob({random, count: 200, load: 1, slots}),
@@ -96,9 +96,9 @@
 	assertAtMost(findPercentile(ended, 50), (totalMs / slots) * 0.4);
 });
 
-test('a team within its share is not held back by one that asks for ten times its own', () => {
-	// One customer's script goes wild before dawn. Without shares all others' jobs stand in its
-	// queue, and their callers see refusals though they asked for little.
+test('a team within its share is not delayed by a team that floods the queue', () => {
+	// One customer's script submits far more work than its share. Without shares, the jobs of all other teams
+	// would wait behind it, and their callers would be refused although they asked for little.
 	const flood = makeJobs({
 		random: seedRandom(5),
 		count: 2500,
@@ -130,9 +130,9 @@
 	assertAtLeast(measureGoodput(report), 0.95);
 });
 
-test('one slow executor hardly shows in the slowest jobs', () => {
-	// One process of the target has sick memory and takes ten times as long. Given its share of
-	// every job it would hold up every job.
+test('one slow executor raises the 99th percentile of response times by at most 30%', () => {
+	// One process of the target has faulty memory and takes ten times as long. With its full share of the
+	// tasks of each job it would delay every job.
 	const many = makeExecutors(30);
 	const jobs = makeJobs({
 		random: seedRandom(11),
@@ -152,8 +152,8 @@
 	assertAtMost(after! / before!, 1.3);
 });
 
-test('an executor that fails all it is given costs few jobs', () => {
-	// It fails fast, so its slots are always the free ones, and it would draw in all work.
+test('an executor that fails all its tasks makes few jobs fail', () => {
+	// It fails fast, so its slots are nearly always free and it would attract all work.
 	const bad = executors.map((executor, i) => ({
 		...executor,
 		...(i === 0 && {run: () => ({result: 'failed' as const, runMs: 2})}),
@@ -166,7 +166,7 @@
 	);
 });
 
-test('when every executor fails half its tasks none is shut out', () => {
+test('when every executor fails half its tasks, none is ejected', () => {
 	const random = seedRandom(9);
 	const all = executors.map((executor) => ({
 		...executor,
@@ -191,7 +191,7 @@
 	assertAtLeast(countByState(report, 'done'), 250);
 });
 
-test('short jobs pass a job of 1,700 tasks, and it ends too', () => {
+test('short jobs overtake a job of 1,700 tasks, and the long job still completes', () => {
 	const random = seedRandom(13);
 	const long = makeJob({
 		random,
@@ -220,7 +220,7 @@
 	['ten times too long', 1800],
 	['ten times too short', 18],
 ] as const) {
-	test(`declared run times ${name}: jobs are served once the truth is learned`, () => {
+	test(`declared run times ${name}: jobs are served in time once the real ones are learned`, () => {
 		const jobs = makeLoad(0.8, 1500).map((job) => ({...job, declaredMs}));
 		const report = new Replay({jobs, executors}).run();
 		assertAtLeast(countByState(report, 'done'), 1485);
@@ -228,7 +228,7 @@
 	});
 }
 
-test('cancellations in waves leave nothing behind', () => {
+test('waves of cancellations leave other jobs served and few grants unused', () => {
 	const jobs = makeLoad(1.2, 1500).map((job) => ({
 		...job,
 		...(job.at % 2000 < 500 && {cancelAt: Math.ceil(job.at / 500) * 500 + 100}),
@@ -245,7 +245,7 @@
 	assertAtMost(report.unusedGrants / report.starts, 0.02);
 });
 
-test('callers of one data centre get the free slots of the other two', () => {
+test('jobs of one data centre get the free slots of the other two', () => {
 	const far = makeExecutors(12, 3);
 	const jobs = makeJobs({
 		random: seedRandom(21),
--- a/packages/decisions/src/placement.ts
+++ b/packages/decisions/src/placement.ts
@@ -1,9 +1,9 @@
 /**
-Which executor gets the next task.
+Chooses the executor for the next task.
 */
 import {type ExecutorState} from './executor-health.js';
 
-/** Least share of its tasks that an executor is credited with ending well: no division by zero. */
+/** Minimum success rate used for an executor: prevents division by zero. */
 const leastReliability = 0.1;
 
 /** Whether a slot of the executor may be lent now. */
@@ -18,9 +18,9 @@
 }
 
 /**
-The executor for the next task: a probe that is due, else the fewest busy slots for its speed and
-reliability. For work that doesn't fill all executors: spreading it keeps each one's queue at
-none, and leans to those that end tasks soonest.
+Returns an ejected executor that is due for a probe, else the executor with the lowest load relative to
+its speed and reliability; undefined if no slot is free. When work doesn't fill all executors, this
+spreads it so that no task queues at an executor, and prefers those that end tasks soonest.
 */
 export function pickExecutor(
 	executors: readonly ExecutorState[],
--- a/packages/decisions/src/rank.ts
+++ b/packages/decisions/src/rank.ts
@@ -1,39 +1,39 @@
 /**
-The order of waiting work: least remaining work first, with ageing.
+The order of waiting jobs: least remaining work first, with ageing.
 
-A job's rank is the time it may be overtaken for, less the time it has waited; lower goes first.
-The first part is its remaining work spread over all slots (what it would take alone in an
-empty system) times a constant. As time passes all ranks fall alike, so the order of two jobs
-never changes by waiting alone, and a sorted list stays sorted.
+A job's rank is the time for which others may overtake it, less the time that it has waited; the lowest
+rank is served first. The time for which others may overtake it is `ageingFactor` times its remaining work
+spread over all slots (its run time alone in an empty system). All ranks fall at the same rate, so
+waiting alone never changes the order of two jobs, and a sorted list stays sorted.
 */
 
 /**
-How many times its own ideal run time a job is overtaken by smaller ones. For long jobs beside
-short ones: without a limit a stream of short jobs starves a long one for ever; with a small
-one the order is first come, first served, and a long job delays a hundred short ones.
+Smaller jobs may overtake a job for this many times its run time in an empty system. Without a limit, a
+stream of short jobs would starve a long one. With a small limit, the order would be first come, first
+served, and a long job would delay a hundred short ones.
 */
 export const ageingFactor = 100;
 
-/** How far ahead a waiting job must be before a held slot changes hands: this factor in rank. */
+/** The waiting job's rank must be better by this factor before an owner gives up a slot for it. */
 export const reuseFactor = 2;
 
-/** Below this lead, milliseconds, a slot isn't handed over: the message and idle time cost more. */
+/** Below this difference in rank an owner keeps its slot: the message and idle time would cost more. */
 export const reuseMarginMs = 20;
 
-/** A job as ranked: work in milliseconds of one slot. */
+/** The fields of a job that determine its rank; `taskMs` is the run time of one task. */
 export type RankInput = {remaining: number; taskMs: number; waitedMs: number};
 
-/** Milliseconds that a job may still be overtaken for; negative once it has waited longer. */
+/** Milliseconds for which a job may still be overtaken; negative once it has waited longer. */
 export function rankJob(input: RankInput, slots: number): number {
 	const workMs = input.remaining * input.taskMs;
 	return (ageingFactor * workMs) / Math.max(1, slots) - input.waitedMs;
 }
 
 /**
-Whether an owner keeps a lent slot for its job's next task, or gives it back for the keeper's
-best waiting job. For long jobs that hold many slots while short ones wait: kept to its end, a
-slot of a 1,700-task job would be gone for seconds. The margin prevents that two jobs of like
-rank pass a slot to and fro, at a message each.
+Returns true if an owner keeps a lent slot for its job's next task, and false if it releases the slot for
+the keeper's best waiting job, whose rank is `headRank` (undefined if none waits). A 1,700-task job that
+kept its slots to its end would block short jobs for seconds. The required lead prevents two jobs of
+similar rank from passing a slot back and forth, at the cost of a message each time.
 */
 export function chooseReuse(
 	ownRank: number,
--- a/packages/decisions/src/ranked-list.ts
+++ b/packages/decisions/src/ranked-list.ts
@@ -1,13 +1,12 @@
 /**
-A sorted array of waiting jobs, best rank first. Insertion and removal find their place by
-binary search; moving the tail is one native copy, cheap at the thousands of jobs that
-admission lets wait.
+A sorted array, lowest order first; holds the waiting jobs by rank. Insertion and removal use binary search.
+Moving the tail is one native copy, which is cheap for the thousands of waiting jobs that admission allows.
 */
 
-/** What the list orders by. Must not change while the item is in the list. */
+/** The sort key. Must not change while the item is in the list. */
 export type Ranked = {
 	order: number;
-	/** Unique; settles equal orders, earlier first. */
+	/** Unique; among items of equal `order` the lower one goes first. */
 	sequence: number;
 };
 
@@ -26,7 +25,7 @@
 		this.items.splice(this.findPlace(item), 0, item);
 	}
 
-	/** Removes an item; one that isn't in the list is left alone. */
+	/** Removes an item; does nothing if it isn't in the list. */
 	remove(item: Item): void {
 		const place = this.findPlace(item);
 		if (this.items[place] === item) {
@@ -34,7 +33,7 @@
 		}
 	}
 
-	/** Index of the item, or where it would be inserted. */
+	/** Index of the item, or the index at which it would be inserted. */
 	findPlace(item: Ranked): number {
 		let low = 0;
 		let high = this.items.length;
--- a/packages/decisions/src/recall.ts
+++ b/packages/decisions/src/recall.ts
@@ -1,37 +1,38 @@
 /**
-Which lent slots are asked back, as their tasks end, for better-ranked work.
+Chooses which lent slots are recalled: their owners release them as the tasks on them end.
 */
 import {countWanted, type JobState, type LentSlot} from './job-state.js';
 import {type Recall} from './lending.js';
 import {type TeamState} from './team-table.js';
 
 /**
-How much less work a waiting job must have than the holder for a recall. A recall costs a message and an
-idle moment; two jobs of like size would pass slots to and fro and both end later.
+A waiting job gets a holder's slot only if it has less than this fraction (1 in 4) of the holder's work. A
+recall costs a message and idle time; two jobs of similar size would pass slots back and forth and both
+end later.
 */
 export const recallFactor = 4;
 
-/** Most recalls in one decision: the rest follows at the next one, if it is still wanted. */
+/** Maximum number of recalls for waiting jobs in one decision; the others follow in the next if still wanted. */
 const mostRecalls = 64;
 
 type RecallView = {
 	teams: Iterable<TeamState>;
 	slots: Iterable<LentSlot>;
-	/** Slots per unit of weight. */
+	/** Slots per unit of team weight. */
 	perWeight: number;
-	/** Recalled and not back yet. */
+	/** Slots that are recalled and not yet released. */
 	outstanding: number;
-	/** Takes a slot out of its job's held ones. */
+	/** Marks a slot as recalled and removes it from its job's held slots. */
 	markRecalled: (lent: LentSlot) => void;
 };
 
 /**
-Chooses slots to call back.
+Chooses the slots to recall for waiting jobs.
 
-For long jobs beside short ones, and for one team's flood that came before another team's work:
-owners keep a slot for a job's next task, so a job of 1,700 tasks would hold every slot for
-seconds while short jobs wait. Never more are recalled than are waited for by better-ranked
-jobs, less those recalled already, or slots would come back with nobody to use them.
+Owners keep a slot for a job's next task. Without recalls, a job of 1,700 tasks would hold every slot for
+seconds while short jobs wait, and so would a team that floods the queue before another team's jobs
+arrive. At most as many slots are recalled as better-ranked jobs wait for, less those already recalled:
+otherwise slots would be returned that no job uses.
 */
 export function chooseRecalls(view: RecallView): LentSlot[] {
 	const waiting = listWaiting(view.teams);
@@ -59,7 +60,7 @@
 	return recalled;
 }
 
-/** Puts recalls together by owner. */
+/** Groups recalled slots by owner. */
 export function groupRecalls(slots: readonly LentSlot[]): Recall[] {
 	const byOwner = new Map<string, number[]>();
 	for (const {owner, slot} of slots) {
@@ -75,7 +76,7 @@
 	return Math.min(wanted, Math.max(0, team.quota - team.inUse));
 }
 
-/** The best waiting jobs, of which recalls are made: a few, as recalls are few. */
+/** The best waiting jobs, best first: no more than there can be recalls. */
 function listWaiting(teams: Iterable<TeamState>): JobState[] {
 	const heads: JobState[] = [];
 	for (const {waiting} of teams) {
@@ -85,7 +86,7 @@
 	return heads.toSorted((a, b) => a.order - b.order).slice(0, mostRecalls);
 }
 
-/** Jobs with slots that may be called back, worst rank last. */
+/** Jobs with slots that may be recalled, worst rank last. */
 function listHolders(slots: Iterable<LentSlot>): JobState[] {
 	const holders = new Set<JobState>();
 	for (const {job, isRecalled, quarantinedUntil} of slots) {
@@ -140,8 +141,8 @@
 }
 
 /**
-Slots on executors that are leaving or shut out. A leaving one must come to rest; on one shut
-out, an owner that kept its slot would go on sending tasks to be failed or held up.
+Chooses the slots of leaving or ejected executors. A leaving executor has to become idle. An owner that
+kept a slot of an ejected executor would go on sending it tasks, which would fail or be delayed.
 */
 export function chooseUnwanted(
 	slots: Iterable<LentSlot>,
@@ -151,7 +152,7 @@
 	for (const lent of slots) {
 		const {executor, isRecalled, quarantinedUntil, lentAt} = lent;
 		const isUnwanted = executor.isLeaving || executor.isShutOut;
-		// One lent just now as a probe has yet to get its one task.
+		// A slot lent in this decision is a probe that hasn't got its task yet.
 		const isFresh = lentAt >= now && !executor.isLeaving;
 		if (
 			isUnwanted &&
--- a/packages/decisions/src/replay.fixture.ts
+++ b/packages/decisions/src/replay.fixture.ts
@@ -1,6 +1,6 @@
 /**
-A small event loop on a virtual clock: owners, keepers and executors of a few data centres, with
-delays between them. Only what the decisions need to be judged by their outcome for callers.
+A discrete-event simulation on a virtual clock: owners, keepers and executors of a few data centres, with
+message delays between them. It models only what is needed to measure how the decisions affect callers.
 */
 import {createLender, type Lender} from './lender.js';
 import {type Grant, type SlotOutcome, type TeamShare} from './lending.js';
@@ -10,11 +10,11 @@
 export type JobPlan = {
 	at: number;
 	team: string;
-	/** Index of the data centre whose host takes the job. */
+	/** Index of the data centre whose host receives the job. */
 	dataCentre: number;
 	deadlineMs: number;
 	declaredMs: number;
-	/** True run time of each task on an ordinary executor. */
+	/** Real run time of each task on a healthy executor. */
 	runMs: number[];
 	cancelAt?: number;
 };
@@ -23,7 +23,7 @@
 	name: string;
 	dataCentre: number;
 	slots: number;
-	/** How a task ends that takes this long elsewhere. */
+	/** Outcome of a task that runs for `runMs` on a healthy executor. */
 	run?: (runMs: number) => SlotOutcome;
 };
 
@@ -32,7 +32,7 @@
 	state: 'open' | 'done' | 'failed' | 'refused' | 'cancelled' | 'late';
 	endedAt: number;
 	workDone: number;
-	/** Of it, done before the last arrival. */
+	/** The part of `workDone` that was done before the last arrival. */
 	workInTime: number;
 };
 
@@ -41,7 +41,7 @@
 	executors: ExecutorPlan[];
 	dataCentres?: number;
 	teams?: Map<string, TeamShare>;
-	/** One way, milliseconds, inside a data centre and between two. */
+	/** One-way message delays inside a data centre and between two. */
 	nearMs?: number;
 	farMs?: number;
 };
@@ -65,7 +65,7 @@
 };
 type Event = {order: number; sequence: number; run: () => void};
 
-/** Times at which keepers tell one another what is free, milliseconds apart. */
+/** Interval at which keepers exchange their numbers of free slots. */
 const stateEveryMs = 5;
 
 function sum(numbers: number[]): number {
@@ -186,7 +186,7 @@
 		};
 	}
 
-	/** Tells the job's keeper what it needs. */
+	/** Sends the job's demand to its keeper. */
 	#tell(job: Job): void {
 		const keeper = job.plan.dataCentre;
 		const demand = this.#describe(job);
--- a/packages/decisions/src/run-estimate.ts
+++ b/packages/decisions/src/run-estimate.ts
@@ -1,41 +1,41 @@
 /**
-What a task of a service takes, learned from how long tasks ran. The declared run time is only
-the prior: it may be wrong by ten times both ways.
+Estimates the run time of a service's tasks from the run times of ended tasks. The declared run time is only
+the prior: it may be ten times too long or too short.
 */
 
-/** Declared run times count as this many samples: a few real ones outvote them. */
+/** Weight of the declared run time, in samples: a few real ones outweigh it. */
 const priorSamples = 2;
 
-/** Least weight of a new sample: the estimate follows a change within about fifty tasks. */
+/** Minimum weight of a new sample: the estimate follows a change within about fifty tasks. */
 const leastWeight = 0.02;
 
-/** Samples from which the estimate is trusted more than the declaration. */
+/** Number of samples from which the estimate replaces the declared run time. */
 const trustedSamples = 8;
 
-/** Spread of the logarithm of run times assumed before any is known: p99 about 5 times the median. */
+/** Standard deviation of log run time assumed before any sample: the 99th percentile is about 5 times the median. */
 const priorLogSpread = 0.7;
 
-/** The 99th percentile of the normal distribution, in standard deviations. */
+/** The 99th percentile of the standard normal distribution. */
 const normalP99 = 2.33;
 
-/** Shortest run time counted, milliseconds: logarithms need a positive number. */
+/** Shorter run times are raised to this: logarithms need a positive number. */
 const shortestRunMs = 0.01;
 
 export type RunEstimate = {
-	/** Learned mean, milliseconds; the prior until samples come. */
+	/** Learned mean, milliseconds; the prior before the first sample. */
 	readonly meanMs: number;
-	/** Learned 99th percentile, milliseconds, as of a log-normal distribution. */
+	/** Learned 99th percentile, milliseconds, assuming a log-normal distribution; at least the mean. */
 	readonly p99Ms: number;
-	/** True once enough tasks ended for the declaration not to matter. */
+	/** True once enough tasks have ended for the declared run time not to matter. */
 	readonly isLearned: boolean;
-	/** When the last sample came, on the caller's clock; undefined before any. */
+	/** Time of the last sample, on the caller's clock; undefined before the first. */
 	readonly lastSampleAt: number | undefined;
-	/** Takes in how long one task ran. */
+	/** Records the run time of one ended task. */
 	note: (runMs: number, now: number) => void;
 };
 
 /**
-Learns a service's run times.
+Creates the estimate for one service.
 
 @example
 const estimate = estimateRunMs(200);
--- a/packages/decisions/src/slot-book.ts
+++ b/packages/decisions/src/slot-book.ts
@@ -1,6 +1,6 @@
 /**
-The slots lent now: each under a number of its own, so that a late or repeated release, of a
-slot lent again since, changes nothing.
+The slots that are lent now. Each loan has a number of its own, so that a late or repeated release doesn't
+affect a later loan of the same slot.
 */
 import {type ExecutorState} from './executor-health.js';
 import {type JobState, type LentSlot} from './job-state.js';
@@ -16,17 +16,17 @@
 	executor: ExecutorState;
 };
 
-/** A grant has arrived by then, milliseconds, or its connection has been closed as silent. */
+/** After this time a grant has arrived, or its connection has been closed because it was silent. */
 const grantArrivesMs = 3000;
 
 export class SlotBook {
 	readonly #slots = new Map<number, LentSlot>();
 	readonly #byOwner = new Map<string, Set<LentSlot>>();
-	/** In order of time only by chance: few, and looked through when one is due. */
+	/** Not sorted by time: there are few, so all are checked when one may be due. */
 	readonly #quarantined = new Set<LentSlot>();
-	/** Slots whose job isn't known yet: a new keeper hears of a slot before its job. */
+	/** Slots whose job isn't known yet: a new keeper may learn of a slot before its job. */
 	readonly #orphans = new Set<LentSlot>();
-	/** Called back and not returned yet. */
+	/** Number of slots that are recalled and not yet released. */
 	#recalled = 0;
 	#nextSlot: number;
 
@@ -52,7 +52,7 @@
 		return this.restore(slot, request);
 	}
 
-	/** Enters a slot under a number it already has: one that an earlier keeper lent. */
+	/** Adds a slot under a given number, for example one that an earlier keeper lent. */
 	restore(slot: number, request: LendRequest): LentSlot {
 		const lent: LentSlot = {
 			...request,
@@ -91,7 +91,7 @@
 		lent.team.inUse -= 1;
 	}
 
-	/** Joins restored slots to their job when its demand comes. */
+	/** Assigns restored slots to their job when its demand arrives. */
 	adopt(job: JobState): void {
 		for (const lent of this.#orphans) {
 			if (lent.owner === job.owner && lent.jobNumber === job.job) {
@@ -106,7 +106,7 @@
 		}
 	}
 
-	/** Marks a slot as called back; its owner gives it back when its task ends. */
+	/** Marks a slot as recalled. Its owner releases it when the task on it ends. */
 	markRecalled(lent: LentSlot): void {
 		lent.isRecalled = true;
 		lent.job?.held.delete(lent.slot);
@@ -133,9 +133,10 @@
 	}
 
 	/**
-	Compares with all that a borrower says it holds. One whose connection broke and that is back as
-	the same process holds what it names as before. What it doesn't name is free at once if it was
-	quarantined, or lent so long ago that the grant must have arrived: the release was lost.
+	Compares the lent slots with all those that a borrower reports as held. A borrower that reconnects as the
+	same process keeps the slots that it reports: their quarantine ends. A slot that it doesn't report is
+	released at once if it was quarantined, or if it was lent so long ago that the grant must have
+	arrived: then the release was lost.
 	*/
 	reconcile(owner: string, held: ReadonlySet<number>, now: number): void {
 		for (const lent of this.listOwned(owner)) {
@@ -149,7 +150,7 @@
 		}
 	}
 
-	/** Frees the slots whose quarantine has ended. */
+	/** Releases the slots whose quarantine has ended. */
 	releaseDue(now: number): void {
 		for (const lent of this.#quarantined) {
 			if (lent.quarantinedUntil! <= now) {
@@ -158,7 +159,7 @@
 		}
 	}
 
-	/** When the next quarantine ends. */
+	/** Time at which the next quarantine ends; undefined if there is none. */
 	findNextDue(): number | undefined {
 		let due: number | undefined;
 		for (const {quarantinedUntil} of this.#quarantined) {
--- a/packages/decisions/src/team-table.ts
+++ b/packages/decisions/src/team-table.ts
@@ -1,5 +1,5 @@
 /**
-Teams at one keeper: slots in use, waiting jobs, and which team's best job gets the next slot.
+The teams at one keeper: their slots in use, their waiting jobs, and the choice of the job that gets the next slot.
 */
 import {type TeamShare} from './lending.js';
 import {RankedList} from './ranked-list.js';
@@ -9,19 +9,19 @@
 	readonly name: string;
 	weight: number;
 	quota: number;
-	/** Jobs known, waiting or not. */
+	/** Number of known jobs, waiting or not. */
 	jobs: number;
-	/** Slots lent to the team's jobs. */
+	/** Number of slots lent to the team's jobs. */
 	inUse: number;
-	/** Of late: what the team gets when it asks for more than its share. */
+	/** Moving average of `inUse`: what the team gets when it asks for more than its share. */
 	usualSlots: number;
 	/** Admitted jobs that want more slots. */
 	readonly waiting: RankedList<JobState>;
-	/** Work of the waiting jobs, milliseconds of one slot. */
+	/** Work of the waiting jobs, slot-milliseconds. */
 	waitingWorkMs: number;
 };
 
-/** Weight of the newest sample of slots in use: at one each 50 ms half a second's worth counts. */
+/** Weight of the newest sample of slots in use. With a sample every 50 ms, the average covers about half a second. */
 const sampleWeight = 0.1;
 
 const defaultShare: TeamShare = {weight: 1};
@@ -38,7 +38,7 @@
 		}
 	}
 
-	/** The team's state; made on first use. */
+	/** Returns the team's state; creates it on first use. */
 	open(name: string): TeamState {
 		const present = this.#teams.get(name);
 		if (present) {
@@ -58,7 +58,7 @@
 		return team;
 	}
 
-	/** Forgets teams without work, so that memory follows the load and not the number of teams. */
+	/** Removes teams without jobs or slots, so that memory depends on the load, not on the number of teams ever seen. */
 	dropIdle(): void {
 		for (const team of this.#teams.values()) {
 			if (team.jobs === 0 && team.inUse === 0) {
@@ -75,12 +75,12 @@
 		}
 	}
 
-	/** Weights of the teams with work, as of the last `refresh`. */
+	/** Sum of the weights of the teams that have slots or waiting jobs, as of the last update in `decide`. */
 	get weights(): number {
 		return this.#weights;
 	}
 
-	/** Sums up the weights, once a decision: with 800 teams the sum costs more than a grant. */
+	/** Sums up the weights. Called once per decision, not per grant: with 800 teams the sum costs more than a grant. */
 	refresh(): void {
 		let weights = 0;
 		for (const team of this.#teams.values()) {
@@ -91,9 +91,10 @@
 	}
 
 	/**
-	Slots that a team can count on: its weight over the weights of the teams with work, or what it
-	has had of late, with what is free, if that is more. What other teams leave unused isn't
-	counted by what waits: those that ask for less than their share go on asking.
+	Estimates the slots that a team can count on, at least 1 and at most its quota: its weighted share of the
+	capacity among the teams with work, or its recent use plus the free slots if that is more. The share that
+	other teams leave unused is not derived from their waiting jobs, because a team that asks for less than
+	its share will go on asking.
 	*/
 	estimateShare(team: TeamState, capacity: number, free: number): number {
 		const newWeight = isActive(team) ? 0 : team.weight;
@@ -105,7 +106,7 @@
 		);
 	}
 
-	/** Takes a sample of the slots in use; at even times. */
+	/** Samples the slots in use of each team. Must be called at regular intervals. */
 	sampleUse(): void {
 		for (const team of this.#teams.values()) {
 			team.usualSlots += sampleWeight * (team.inUse - team.usualSlots);
@@ -113,10 +114,10 @@
 	}
 
 	/**
-	The waiting job that gets the next slot. For skewed demand, one team asking for ten times its
-	share: teams below their weighted share of the slots go first, so a flood of one team delays
-	another's work by a task's run time at most. A quota is a hard cap. Among the teams of a
-	class, and for what no team's share claims, the best rank goes first.
+	Picks the waiting job that gets the next slot; undefined if none may have one. Teams below their weighted
+	share of the slots go first: if one team asks for ten times its share, it delays another team's work by
+	a task's run time at most. A team at its quota gets no slot. Among teams below their share, and among
+	the others for slots that remain, the job with the best rank goes first.
 	*/
 	pickNext(capacity: number): JobState | undefined {
 		const perWeight = capacity / this.#weights;
@@ -143,7 +144,7 @@
 		return best;
 	}
 
-	/** The order of the best waiting job of all teams. */
+	/** Sort key of the best waiting job of all teams; undefined if none waits. */
 	findBestOrder(): number | undefined {
 		let best: number | undefined;
 		for (const {waiting} of this.#teams.values()) {
