--- a/packages/decisions/src/decide.ts
+++ b/packages/decisions/src/decide.ts
@@ -2,46 +2,46 @@
 The steps of one decision: admit or refuse jobs, lend slots, recall slots, and list shortages.
 */
 import {judgeAdmission, type AdmissionView} from './admission.js';
-import {noteProbe, type ExecutorState} from './executor-health.js';
+import {recordProbe, type ExecutorState} from './executor-health.js';
 import {countWanted, type JobState, type LentSlot} from './job-state.js';
 import {type KeeperState} from './keeper-state.js';
 import {type Grant, type Refusal, type Shortage} from './lending.js';
 import {chooseRecalls, chooseUnwanted} from './recall.js';
 
 /** How often waiting jobs are checked for deadlines that they can no longer meet. */
-const sweepEveryMs = 50;
+const sweepIntervalMs = 50;
 
 /** A job becomes urgent when its time left is below this many times what it needs with its team's share. */
-const urgentMargin = 3;
+const urgentTimeFactor = 3;
 
 /** `retryAfterMs` of a job that is refused because its time ran out while it waited. */
-const sweptRetryMs = 1000;
+const missedDeadlineRetryMs = 1000;
 
 /**
 How often recalls are chosen, besides whenever a job is admitted or the executors change. Choosing
 iterates over all lent slots. At thousands of decisions a second, doing so in each would cost more than
 everything else, and a recalled slot is returned only some milliseconds later anyway.
 */
-const recallEveryMs = 5;
+const recallIntervalMs = 5;
 
 /** Maximum number of shortages in one decision; the others follow when these are settled. */
-const mostShortages = 64;
+const maxShortages = 64;
 
 /** Admits or refuses the jobs that arrived since the last decision, best rank first. */
-export function judgeNewcomers(state: KeeperState, now: number): Refusal[] {
+export function judgeNewJobs(state: KeeperState, now: number): Refusal[] {
 	const refusals: Refusal[] = [];
-	const newcomers = state.jobs.takeNewcomers();
-	const capacity = newcomers.length === 0 ? 0 : state.capacity;
-	for (const job of newcomers) {
-		const refused = judgeAdmission(
+	const newJobs = state.jobs.takeNewJobs();
+	const capacity = newJobs.length === 0 ? 0 : state.capacity;
+	for (const job of newJobs) {
+		const reason = judgeAdmission(
 			job,
 			viewAdmission(state, job, {capacity, now}),
 		);
-		if (refused) {
-			refusals.push(refuse(state, job, refused));
+		if (reason) {
+			refusals.push(refuse(state, job, reason));
 		} else {
 			state.jobs.admit(job);
-			state.hasNews = true;
+			state.isRecallDue = true;
 		}
 	}
 
@@ -53,16 +53,20 @@
 	job: JobState,
 	{capacity, now}: {capacity: number; now: number},
 ): AdmissionView {
-	const {jobs, pool, slots, queueTasks} = state;
+	const {jobs, pool, slots, maxWaitingTasks} = state;
 	const {service} = job.demand;
 	return {
-		executors: pool.activeCount,
+		executorCount: pool.activeCount,
 		capacity,
 		inUse: slots.size,
 		waitingWorkMs: jobs.waitingWorkMs,
-		waitingTasks: jobs.waitingTasks,
-		queueTasks,
-		share: jobs.teams.estimateShare(job.team, capacity, pool.countFree(now)),
+		waitingTaskCount: jobs.waitingTasks,
+		maxWaitingTasks,
+		teamSlots: jobs.teams.estimateShare(
+			job.team,
+			capacity,
+			pool.countFree(now),
+		),
 		taskMs: state.viewJob(job.demand, now).taskMs,
 		p99Ms: state.estimates.get(service)?.p99Ms ?? job.demand.taskMs,
 		isLearned: state.isLearned(service, now),
@@ -73,30 +77,30 @@
 function refuse(
 	state: KeeperState,
 	job: JobState,
-	refused: Pick<Refusal, 'code' | 'retryAfterMs'>,
+	reason: Pick<Refusal, 'code' | 'retryAfterMs'>,
 ): Refusal {
 	state.jobs.remove(job);
-	return {owner: job.owner, job: job.job, ...refused};
+	return {owner: job.owner, job: job.job, ...reason};
 }
 
 /**
 Refuses waiting jobs that have no slot yet and can no longer meet their deadline. This happens when
 capacity drops after they were admitted; they would take slots only to fail.
 */
-export function sweepHopeless(state: KeeperState, now: number): Refusal[] {
-	if (now - state.sweptAt < sweepEveryMs) {
+export function refuseUnreachable(state: KeeperState, now: number): Refusal[] {
+	if (now - state.sweptAt < sweepIntervalMs) {
 		return [];
 	}
 
 	state.sweptAt = now;
 	state.jobs.teams.dropIdle();
 	state.jobs.teams.sampleUse();
-	hastenUrgent(state, now);
-	const hopeless = [...state.jobs.listWaiting()].filter((job) =>
-		isHopeless(state, job, now),
+	markUrgentJobs(state, now);
+	const unreachable = [...state.jobs.listWaiting()].filter((job) =>
+		isDeadlineUnreachable(state, job, now),
 	);
-	return hopeless.map((job) =>
-		refuse(state, job, {code: 'deadline', retryAfterMs: sweptRetryMs}),
+	return unreachable.map((job) =>
+		refuse(state, job, {code: 'deadline', retryAfterMs: missedDeadlineRetryMs}),
 	);
 }
 
@@ -105,26 +109,30 @@
 Under overload and ordered by least remaining work alone, an admitted long job would lose its slots to
 each shorter job that arrives, and miss its deadline with half of its tasks done for nothing.
 */
-function hastenUrgent(state: KeeperState, now: number): void {
+function markUrgentJobs(state: KeeperState, now: number): void {
 	const {jobs, pool} = state;
 	const capacity = Math.max(1, pool.capacity);
 	const free = pool.countFree(now);
 	const urgent = [...jobs.listWaiting()].filter((job) => {
 		const tailMs = state.estimates.get(job.demand.service)?.p99Ms ?? 0;
 		const share = jobs.teams.estimateShare(job.team, capacity, free);
-		const aloneMs = (urgentMargin * job.workMs) / share;
+		const aloneMs = (urgentTimeFactor * job.workMs) / share;
 		const isPossible = now + job.workMs / capacity < job.deadlineAt;
 		return (
 			!job.isUrgent && isPossible && now + aloneMs + tailMs > job.deadlineAt
 		);
 	});
 	for (const job of urgent) {
-		jobs.hasten(job);
+		jobs.markUrgent(job);
 	}
 }
 
-function isHopeless(state: KeeperState, job: JobState, now: number): boolean {
-	const hasStarted = job.granted > 0 || job.shifting > 0;
+function isDeadlineUnreachable(
+	state: KeeperState,
+	job: JobState,
+	now: number,
+): boolean {
+	const hasStarted = job.granted > 0 || job.requestedElsewhere > 0;
 	const taskMs = state.isLearned(job.demand.service, now)
 		? state.viewJob(job.demand, now).taskMs
 		: 0;
@@ -136,7 +144,7 @@
 	const grants: Grant[] = [];
 	const capacity = Math.max(1, state.pool.capacity);
 	for (;;) {
-		const job = state.jobs.teams.pickNext(capacity);
+		const job = state.jobs.teams.pickNextJob(capacity);
 		const executor = job && state.pool.pick(now);
 		if (!executor) {
 			return grants;
@@ -145,7 +153,7 @@
 		grants.push(lendSlot(state, job, executor, now));
 		job.granted += 1;
 		job.grantedAt = now;
-		state.jobs.relist(job);
+		state.jobs.updateQueued(job);
 	}
 }
 
@@ -155,8 +163,8 @@
 	executor: ExecutorState,
 	now: number,
 ): Grant {
-	if (executor.isShutOut) {
-		noteProbe(executor, now);
+	if (executor.isEjected) {
+		recordProbe(executor, now);
 	}
 
 	const {owner, job: jobNumber, team} = job;
@@ -174,11 +182,11 @@
 
 /** Recalls slots of leaving or ejected executors, and slots that better-ranked jobs wait for. */
 export function recallSlots(state: KeeperState, now: number): LentSlot[] {
-	if (!state.hasNews && now - state.recalledAt < recallEveryMs) {
+	if (!state.isRecallDue && now - state.recalledAt < recallIntervalMs) {
 		return [];
 	}
 
-	state.hasNews = false;
+	state.isRecallDue = false;
 	state.recalledAt = now;
 	const {jobs, slots, pool} = state;
 	const markRecalled = (lent: LentSlot): void => {
@@ -193,8 +201,8 @@
 	const wanted = chooseRecalls({
 		teams: jobs.teams.listActive(),
 		slots: slots.listAll(),
-		perWeight: pool.capacity / jobs.teams.weights,
-		outstanding: slots.recalled,
+		slotsPerWeight: pool.capacity / jobs.teams.totalWeight,
+		outstanding: slots.recalledCount,
 		markRecalled,
 	});
 	return [...unwanted, ...wanted];
@@ -208,7 +216,7 @@
 
 	const shortages: Shortage[] = [];
 	for (const job of state.jobs.listWaiting()) {
-		if (shortages.length === mostShortages) {
+		if (shortages.length === maxShortages) {
 			break;
 		}
 
--- a/packages/decisions/src/executor-health.ts
+++ b/packages/decisions/src/executor-health.ts
@@ -9,41 +9,44 @@
 const failureWeight = 0.25;
 
 /** Failure rate above which an executor is ejected, if its peers do much better. */
-const shutFailureRate = 0.5;
+const ejectFailureRate = 0.5;
 
-/** A failing executor is ejected only above this multiple of the median failure rate; if all fail alike, none is. */
-const shutFailureFactor = 3;
+/**
+A failing executor is ejected only above this multiple of the median failure rate; if all fail alike,
+none is.
+*/
+const ejectFailureFactor = 3;
 
 /** Minimum weight of the newest run time in the learned speed. */
-const leastSpeedWeight = 0.05;
+const minSpeedWeight = 0.05;
 
 /** A `slowRatio` below this is noise or a minor slowdown: the executor keeps all its slots. */
-const slowFactor = 1.5;
+const minSlowRatio = 1.5;
 
 /** Samples needed before an executor's speed is judged. */
-const leastSpeedSamples = 3;
+const minSpeedSamples = 3;
 
 /** Evidence needed to treat an executor as slow: square root of the samples times log of `slowRatio`. */
-const slowEvidence = 2.5;
+const minSlowEvidence = 2.5;
 
 /** With this many samples the learned speed counts half: run times of few tasks say little. */
-const doubtedSamples = 4;
+const halfTrustSamples = 4;
 
 /** An ejected executor stays ejected while its probes take this many times its peers' run times, or more. */
-const reopenFactor = 2.5;
+const keepEjectedRatio = 2.5;
 
 /** Samples beyond this don't strengthen the evidence: the learned speed no longer reflects older ones. */
-const rememberedSamples = 40;
+const maxEvidenceSamples = 40;
 
 /** Shortest and longest wait before an ejected executor gets a probe task. */
-const firstProbeMs = 1000;
-const longestProbeMs = 32_000;
+const minProbeIntervalMs = 1000;
+const maxProbeIntervalMs = 32_000;
 
 /** Consecutive successful probes after which an ejected executor is restored. */
-const probesToOpen = 2;
+const probesToRestore = 2;
 
 /** Maximum share of executors that are ejected at once: the rest must carry the load. */
-const mostShutOut = 0.5;
+const maxEjectedShare = 0.5;
 
 export type ExecutorState = {
 	readonly name: string;
@@ -52,17 +55,17 @@
 	/** Number of slots that are lent or quarantined. */
 	busy: number;
 	/** Number of slots that may be lent given the executor's health. */
-	limit: number;
+	slotLimit: number;
 	failureRate: number;
 	/** Moving average of the logarithm of run time over the service's mean run time. */
-	slowness: number;
+	logSlowness: number;
 	speedSamples: number;
 	/** Run time relative to the median peer, drawn towards 1 while samples are few. */
 	slowRatio: number;
-	isShutOut: boolean;
+	isEjected: boolean;
 	probeAt: number;
-	probeMs: number;
-	goodProbes: number;
+	probeIntervalMs: number;
+	successfulProbes: number;
 };
 
 export function createExecutorState(
@@ -75,20 +78,20 @@
 		slots,
 		isLeaving,
 		busy: 0,
-		limit: slots,
+		slotLimit: slots,
 		failureRate: 0,
-		slowness: 0,
+		logSlowness: 0,
 		speedSamples: 0,
 		slowRatio: 1,
-		isShutOut: false,
+		isEjected: false,
 		probeAt: 0,
-		probeMs: firstProbeMs,
-		goodProbes: 0,
+		probeIntervalMs: minProbeIntervalMs,
+		successfulProbes: 0,
 	};
 }
 
 /** Records how a task ended. `expectedMs` is the service's learned mean run time. */
-export function noteOutcome(
+export function recordOutcome(
 	executor: ExecutorState,
 	outcome: SlotOutcome,
 	expectedMs: number,
@@ -97,22 +100,24 @@
 		return;
 	}
 
-	const isGood = outcome.result === 'done';
+	const hasSucceeded = outcome.result === 'done';
 	executor.failureRate +=
-		failureWeight * (Number(!isGood) - executor.failureRate);
-	if (isGood) {
-		noteSpeed(executor, Math.max(outcome.runMs, 0.01) / expectedMs);
+		failureWeight * (Number(!hasSucceeded) - executor.failureRate);
+	if (hasSucceeded) {
+		recordSpeed(executor, Math.max(outcome.runMs, 0.01) / expectedMs);
 	}
 
-	if (executor.isShutOut) {
-		executor.goodProbes = isGood ? executor.goodProbes + 1 : 0;
+	if (executor.isEjected) {
+		executor.successfulProbes = hasSucceeded
+			? executor.successfulProbes + 1
+			: 0;
 	}
 }
 
-function noteSpeed(executor: ExecutorState, ratio: number): void {
+function recordSpeed(executor: ExecutorState, ratio: number): void {
 	executor.speedSamples += 1;
-	const weight = Math.max(1 / executor.speedSamples, leastSpeedWeight);
-	executor.slowness += weight * (Math.log(ratio) - executor.slowness);
+	const weight = Math.max(1 / executor.speedSamples, minSpeedWeight);
+	executor.logSlowness += weight * (Math.log(ratio) - executor.logSlowness);
 }
 
 /**
@@ -133,86 +138,97 @@
 ): void {
 	const peers = executors.filter((executor) => !executor.isLeaving);
 	const median = {
-		slowness: findMedian(
+		logSlowness: findMedian(
 			peers
-				.filter((peer) => peer.speedSamples >= leastSpeedSamples)
-				.map((peer) => peer.slowness),
+				.filter((peer) => peer.speedSamples >= minSpeedSamples)
+				.map((peer) => peer.logSlowness),
 		),
 		failureRate: findMedian(peers.map((peer) => peer.failureRate)),
 	};
-	let shutOut = peers.filter((peer) => peer.isShutOut).length;
+	let ejectedCount = peers.filter((peer) => peer.isEjected).length;
 	for (const executor of peers) {
-		const isOneTooMany = shutOut + 1 > peers.length * mostShutOut;
-		const wasShutOut = executor.isShutOut;
-		judgeExecutor(executor, median, {now, isOneTooMany});
-		shutOut += Number(executor.isShutOut) - Number(wasShutOut);
+		const isEjectionLimitReached =
+			ejectedCount + 1 > peers.length * maxEjectedShare;
+		const wasEjected = executor.isEjected;
+		judgeExecutor(executor, median, {
+			now,
+			isEjectionLimitReached,
+		});
+		ejectedCount += Number(executor.isEjected) - Number(wasEjected);
 	}
 }
 
-type Median = {slowness: number; failureRate: number};
+type Median = {logSlowness: number; failureRate: number};
 
 function judgeExecutor(
 	executor: ExecutorState,
 	median: Median,
-	{now, isOneTooMany}: {now: number; isOneTooMany: boolean},
+	{now, isEjectionLimitReached}: {now: number; isEjectionLimitReached: boolean},
 ): void {
-	const {slowness, speedSamples} = executor;
-	const trust = speedSamples / (speedSamples + doubtedSamples);
-	executor.slowRatio = Math.exp((slowness - median.slowness) * trust);
-	if (executor.isShutOut) {
-		const isTooSlow = Math.exp(slowness - median.slowness) >= reopenFactor;
-		if (executor.goodProbes < probesToOpen || isTooSlow) {
+	const {logSlowness, speedSamples} = executor;
+	const confidence = speedSamples / (speedSamples + halfTrustSamples);
+	executor.slowRatio = Math.exp(
+		(logSlowness - median.logSlowness) * confidence,
+	);
+	if (executor.isEjected) {
+		const isTooSlow =
+			Math.exp(logSlowness - median.logSlowness) >= keepEjectedRatio;
+		if (executor.successfulProbes < probesToRestore || isTooSlow) {
 			return;
 		}
 
-		openAgain(executor);
+		restoreExecutor(executor);
 	}
 
 	const slots = isSlow(executor)
 		? Math.floor(executor.slots / executor.slowRatio ** 2)
 		: executor.slots;
-	const isBad = isFailing(executor, median) || slots === 0;
-	if (isBad && !isOneTooMany) {
-		executor.isShutOut = true;
-		executor.goodProbes = 0;
-		executor.probeAt = now + executor.probeMs;
-		// The speed is learned again from the probes. Old samples would keep the executor ejected after it recovers.
+	const isUnfit = isFailing(executor, median) || slots === 0;
+	if (isUnfit && !isEjectionLimitReached) {
+		executor.isEjected = true;
+		executor.successfulProbes = 0;
+		executor.probeAt = now + executor.probeIntervalMs;
+		// The speed is learned again from the probes: old samples would keep the executor ejected
+		// after it recovers.
 		executor.speedSamples = 0;
-		executor.slowness = 0;
-		executor.limit = 0;
+		executor.logSlowness = 0;
+		executor.slotLimit = 0;
 		return;
 	}
 
-	executor.limit = Math.max(1, slots);
+	executor.slotLimit = Math.max(1, slots);
 }
 
-function openAgain(executor: ExecutorState): void {
-	executor.isShutOut = false;
+function restoreExecutor(executor: ExecutorState): void {
+	executor.isEjected = false;
 	executor.failureRate = 0;
-	executor.probeMs = firstProbeMs;
+	executor.probeIntervalMs = minProbeIntervalMs;
 }
 
 function isFailing(executor: ExecutorState, median: Median): boolean {
 	return (
-		executor.failureRate > shutFailureRate &&
-		executor.failureRate > shutFailureFactor * median.failureRate
+		executor.failureRate > ejectFailureRate &&
+		executor.failureRate > ejectFailureFactor * median.failureRate
 	);
 }
 
 function isSlow(executor: ExecutorState): boolean {
 	const {slowRatio, speedSamples} = executor;
-	const samples = Math.min(speedSamples, rememberedSamples);
+	const samples = Math.min(speedSamples, maxEvidenceSamples);
 	return (
-		slowRatio >= slowFactor &&
-		samples >= leastSpeedSamples &&
-		Math.sqrt(samples) * Math.log(slowRatio) >= slowEvidence
+		slowRatio >= minSlowRatio &&
+		samples >= minSpeedSamples &&
+		Math.sqrt(samples) * Math.log(slowRatio) >= minSlowEvidence
 	);
 }
 
 /** Records that a probe was sent, and doubles the wait until the next one, up to the maximum. */
-export function noteProbe(executor: ExecutorState, now: number): void {
-	executor.probeMs = Math.min(executor.probeMs * 2, longestProbeMs);
-	executor.probeAt = now + executor.probeMs;
+export function recordProbe(executor: ExecutorState, now: number): void {
+	executor.probeIntervalMs = Math.min(
+		executor.probeIntervalMs * 2,
+		maxProbeIntervalMs,
+	);
+	executor.probeAt = now + executor.probeIntervalMs;
 }
 
 function findMedian(values: readonly number[]): number {
--- a/packages/decisions/src/executor-pool.ts
+++ b/packages/decisions/src/executor-pool.ts
@@ -1,5 +1,6 @@
 /**
-The executors of one target in one data centre: which are configured, how healthy they are, and which gets a task.
+The executors of one target in one data centre: which are configured, how healthy they are, and which
+gets a task.
 */
 import {
 	createExecutorState,
@@ -10,7 +11,7 @@
 import {hasFreeSlot, pickExecutor} from './placement.js';
 
 /** Minimum interval between health evaluations, unless a task failed or the executors changed. */
-const judgeEveryMs = 10;
+const judgeIntervalMs = 10;
 
 export class ExecutorPool {
 	readonly #executors = new Map<string, ExecutorState>();
@@ -19,11 +20,14 @@
 	#judgedAt = Number.NEGATIVE_INFINITY;
 	#capacity = 0;
 
-	/** Replaces the configured executors. One that is no longer listed counts as leaving until its slots are released. */
-	set(executors: readonly LentExecutor[]): void {
-		const declared = new Set(executors.map(({name}) => name));
+	/**
+	Replaces the configured executors. One that is no longer listed counts as leaving until its slots are
+	released.
+	*/
+	setExecutors(executors: readonly LentExecutor[]): void {
+		const configuredNames = new Set(executors.map(({name}) => name));
 		for (const state of this.#executors.values()) {
-			state.isLeaving ||= !declared.has(state.name);
+			state.isLeaving ||= !configuredNames.has(state.name);
 			if (state.isLeaving && state.busy === 0) {
 				this.#executors.delete(state.name);
 			}
@@ -33,7 +37,7 @@
 			const state =
 				this.#executors.get(name) ??
 				createExecutorState(name, slots, isLeaving);
-			state.limit = state.slots === slots ? state.limit : slots;
+			state.slotLimit = state.slots === slots ? state.slotLimit : slots;
 			Object.assign(state, {slots, isLeaving});
 			this.#executors.set(name, state);
 		}
@@ -48,8 +52,8 @@
 		return this.#executors.get(name);
 	}
 
-	/** Adds an executor that only a borrower knows. It gets no tasks until `set` lists it. */
-	findOrEnter(name: string): ExecutorState {
+	/** Adds an executor that only a borrower knows. It gets no tasks until `setExecutors` lists it. */
+	getOrAdd(name: string): ExecutorState {
 		const state =
 			this.#executors.get(name) ?? createExecutorState(name, 0, true);
 		this.#executors.set(name, state);
@@ -60,8 +64,8 @@
 		return pickExecutor(this.#active, now);
 	}
 
-	judge(now: number, isUrgent: boolean): void {
-		if (isUrgent || now - this.#judgedAt >= judgeEveryMs) {
+	judge(now: number, isForced: boolean): void {
+		if (isForced || now - this.#judgedAt >= judgeIntervalMs) {
 			this.#judgedAt = now;
 			judgeExecutors(this.#active, now);
 			this.#capacity = this.#sumLimits();
@@ -81,15 +85,15 @@
 	countFree(now: number): number {
 		let free = 0;
 		for (const state of this.#active) {
-			if (!state.isShutOut && hasFreeSlot(state, now)) {
-				free += Math.min(state.limit, state.slots) - state.busy;
+			if (!state.isEjected && hasFreeSlot(state, now)) {
+				free += Math.min(state.slotLimit, state.slots) - state.busy;
 			}
 		}
 
 		return free;
 	}
 
-	get leavingBusy(): number {
+	get leavingBusyCount(): number {
 		let count = 0;
 		for (const {isLeaving, busy} of this.#executors.values()) {
 			count += Number(isLeaving && busy > 0);
@@ -98,11 +102,14 @@
 		return count;
 	}
 
-	/** Time at which the next ejected executor may be probed, on the keeper's clock; undefined if there is none. */
+	/**
+	Time at which the next ejected executor may be probed, on the keeper's clock; undefined if there is
+	none.
+	*/
 	findNextProbe(): number | undefined {
 		let next: number | undefined;
-		for (const {isShutOut, busy, probeAt} of this.#active) {
-			if (isShutOut && busy === 0) {
+		for (const {isEjected, busy, probeAt} of this.#active) {
+			if (isEjected && busy === 0) {
 				next = Math.min(next ?? probeAt, probeAt);
 			}
 		}
@@ -112,8 +119,8 @@
 
 	#sumLimits(): number {
 		let slots = 0;
-		for (const {limit, slots: declared} of this.#active) {
-			slots += Math.min(limit, declared);
+		for (const {slotLimit, slots: configured} of this.#active) {
+			slots += Math.min(slotLimit, configured);
 		}
 
 		return slots;
--- a/packages/decisions/src/job-state.ts
+++ b/packages/decisions/src/job-state.ts
@@ -9,17 +9,20 @@
 	readonly owner: string;
 	readonly job: number;
 	readonly sequence: number;
-	/** Sort key: `rankJob` as a time on the keeper's clock, lower first. Must not change while the job is in its team's queue. */
+	/**
+	Sort key: the rank (see `rankJob`) as a time on the keeper's clock, lower first. Must not change while the job is in
+	its team's queue.
+	*/
 	order: number;
 	readonly team: TeamState;
 	demand: Demand;
 	/** When the job began to wait, on the keeper's clock. */
-	readonly since: number;
+	readonly waitingSince: number;
 	deadlineAt: number;
 	isAdmitted: boolean;
 	/** The deadline is near: the job is served before all jobs that aren't urgent. */
 	isUrgent: boolean;
-	isListed: boolean;
+	isQueued: boolean;
 	/** Remaining work, slot-milliseconds. Included in the team's sum while the job is in the queue. */
 	workMs: number;
 	/** The job belongs to another data centre and only borrows slots here; it is never queued here. */
@@ -29,10 +32,10 @@
 	/** When `granted` last rose, on the keeper's clock. */
 	grantedAt: number;
 	/** Slots requested from other keepers, until they answer or the request times out. */
-	shifting: number;
-	shiftingUntil: number;
+	requestedElsewhere: number;
+	requestedElsewhereUntil: number;
 	/** Lent slots, by number, that are not recalled. */
-	readonly held: Map<number, LentSlot>;
+	readonly heldSlots: Map<number, LentSlot>;
 };
 
 export type LentSlot = {
@@ -52,5 +55,5 @@
 
 /** Number of slots that the job still wants, besides those granted or requested elsewhere. */
 export function countWanted(job: JobState): number {
-	return Math.max(0, job.demand.asked - job.granted - job.shifting);
+	return Math.max(0, job.demand.asked - job.granted - job.requestedElsewhere);
 }
--- a/packages/decisions/src/job-table.ts
+++ b/packages/decisions/src/job-table.ts
@@ -11,7 +11,7 @@
 const urgentLeadMs = 1e12;
 
 /** A grant that the owner doesn't report for this long is lost: grants normally arrive within milliseconds. */
-const grantLostMs = 1000;
+const lostGrantTimeoutMs = 1000;
 
 /** The parts of the keeper's state that ranking needs; `taskMs` is the service's estimated run time. */
 export type JobView = {now: number; taskMs: number; slots: number};
@@ -24,7 +24,7 @@
 	heldElsewhere = 0;
 	readonly #jobs = new Map<string, JobState>();
 	readonly #byOwner = new Map<string, Set<JobState>>();
-	#newcomers = new Set<JobState>();
+	#newJobs = new Set<JobState>();
 	#sequence = 0;
 
 	lookUp(owner: string, job: number): JobState | undefined {
@@ -38,81 +38,84 @@
 	/** Adds a job or replaces its demand. Messages arrive in order, so the last demand is the newest. */
 	update(demand: Demand, view: JobView): JobState {
 		const {owner, job: number} = demand;
-		const job = this.lookUp(owner, number) ?? this.#enter(demand, view.now);
-		this.#unlist(job);
-		settleGranted(job, demand, view.now);
+		const job = this.lookUp(owner, number) ?? this.#add(demand, view.now);
+		this.#removeQueued(job);
+		reconcileGranted(job, demand, view.now);
 		job.isForeign = false;
 		this.heldElsewhere += countElsewhere(demand) - countElsewhere(job.demand);
 		job.demand = demand;
 		job.deadlineAt = view.now + demand.deadlineInMs;
 		this.rank(job, view);
 		if (job.isAdmitted) {
-			this.relist(job);
+			this.updateQueued(job);
 		}
 
 		return job;
 	}
 
 	/** Adds a job of another data centre. It holds slots here and is never queued. */
-	enterForeign(demand: Demand, view: JobView): JobState {
+	addForeign(demand: Demand, view: JobView): JobState {
 		const present = this.lookUp(demand.owner, demand.job);
 		if (present) {
 			return present;
 		}
 
-		const job = this.#enter({...demand, asked: 0}, view.now);
+		const job = this.#add({...demand, asked: 0}, view.now);
 		job.isForeign = true;
 		job.isAdmitted = true;
-		this.#newcomers.delete(job);
+		this.#newJobs.delete(job);
 		this.rank(job, view);
 		return job;
 	}
 
 	/** Returns and clears the jobs that arrived since the last call, best rank first. */
-	takeNewcomers(): JobState[] {
-		const newcomers = [...this.#newcomers].toSorted(
+	takeNewJobs(): JobState[] {
+		const newJobs = [...this.#newJobs].toSorted(
 			(a, b) => a.order - b.order || a.sequence - b.sequence,
 		);
-		this.#newcomers = new Set();
-		return newcomers;
+		this.#newJobs = new Set();
+		return newJobs;
 	}
 
-	get newcomerCount(): number {
-		return this.#newcomers.size;
+	get newJobCount(): number {
+		return this.#newJobs.size;
 	}
 
 	admit(job: JobState): void {
 		job.isAdmitted = true;
-		this.relist(job);
+		this.updateQueued(job);
 	}
 
 	/** Adds the job to its team's queue if it wants slots, and removes it otherwise. */
-	relist(job: JobState): void {
+	updateQueued(job: JobState): void {
 		const isWaiting = countWanted(job) > 0;
-		if (isWaiting === job.isListed) {
+		if (isWaiting === job.isQueued) {
 			return;
 		}
 
 		if (!isWaiting) {
-			this.#unlist(job);
+			this.#removeQueued(job);
 			return;
 		}
 
-		job.isListed = true;
+		job.isQueued = true;
 		job.team.waiting.insert(job);
-		this.#count(job, 1);
+		this.#addToTotals(job, 1);
 	}
 
-	/** Removes an ended job. The cost is a search in its team's sorted queue, regardless of other teams' queues. */
+	/**
+	Removes an ended job. The cost is a search in its team's sorted queue, regardless of other teams'
+	queues.
+	*/
 	remove(job: JobState): void {
 		if (!this.#jobs.delete(formatJobKey(job.owner, job.job))) {
 			return;
 		}
 
-		this.#unlist(job);
-		this.#newcomers.delete(job);
+		this.#removeQueued(job);
+		this.#newJobs.delete(job);
 		this.heldElsewhere -= countElsewhere(job.demand);
-		job.team.jobs -= 1;
+		job.team.jobCount -= 1;
 		const owned = this.#byOwner.get(job.owner);
 		owned?.delete(job);
 		if (owned?.size === 0) {
@@ -131,77 +134,77 @@
 	}
 
 	/** Ranks all waiting jobs again after the figures behind their order have changed. */
-	rerank(viewOf: (demand: Demand) => JobView): void {
+	rerank(getView: (demand: Demand) => JobView): void {
 		for (const job of this.listWaiting()) {
-			this.#unlist(job);
-			this.rank(job, viewOf(job.demand));
-			this.relist(job);
+			this.#removeQueued(job);
+			this.rank(job, getView(job.demand));
+			this.updateQueued(job);
 		}
 	}
 
 	/** Computes the job's sort key. The job must not be in the queue meanwhile. */
 	rank(job: JobState, {taskMs, slots}: JobView): void {
 		job.workMs = job.demand.remaining * taskMs;
-		const overtakenMs = (ageingFactor * job.workMs) / Math.max(1, slots);
+		const overtakableMs = (ageingFactor * job.workMs) / Math.max(1, slots);
 		job.order = job.isUrgent
 			? job.deadlineAt - urgentLeadMs
-			: job.since + overtakenMs;
+			: job.waitingSince + overtakableMs;
 	}
 
 	/** Moves a waiting job before all jobs that aren't urgent. Urgent jobs are ordered by deadline. */
-	hasten(job: JobState): void {
-		this.#unlist(job);
+	markUrgent(job: JobState): void {
+		this.#removeQueued(job);
 		job.isUrgent = true;
 		job.order = job.deadlineAt - urgentLeadMs;
-		this.relist(job);
+		this.updateQueued(job);
 	}
 
-	#enter(demand: Demand, now: number): JobState {
+	#add(demand: Demand, now: number): JobState {
 		this.#sequence += 1;
 		const job: JobState = {
 			owner: demand.owner,
 			job: demand.job,
 			sequence: this.#sequence,
 			order: 0,
-			team: this.teams.open(demand.team),
+			team: this.teams.getOrAdd(demand.team),
 			demand,
-			since: now - demand.waitedMs,
+			waitingSince: now - demand.waitedMs,
 			deadlineAt: now + demand.deadlineInMs,
 			isAdmitted: demand.isAdmitted ?? false,
 			isUrgent: false,
-			isListed: false,
+			isQueued: false,
 			workMs: 0,
 			isForeign: false,
 			granted: demand.granted ?? 0,
 			grantedAt: now,
-			shifting: 0,
-			shiftingUntil: 0,
-			held: new Map(),
+			requestedElsewhere: 0,
+			requestedElsewhereUntil: 0,
+			heldSlots: new Map(),
 		};
-		job.team.jobs += 1;
+		job.team.jobCount += 1;
 		this.heldElsewhere += countElsewhere(demand);
 		this.#jobs.set(formatJobKey(job.owner, job.job), job);
 		const owned = this.#byOwner.get(job.owner) ?? new Set();
 		owned.add(job);
 		this.#byOwner.set(job.owner, owned);
 		if (!job.isAdmitted) {
-			this.#newcomers.add(job);
+			this.#newJobs.add(job);
 		}
 
 		return job;
 	}
 
-	#unlist(job: JobState): void {
-		if (!job.isListed) {
+	#removeQueued(job: JobState): void {
+		if (!job.isQueued) {
 			return;
 		}
 
-		job.isListed = false;
+		job.isQueued = false;
 		job.team.waiting.remove(job);
-		this.#count(job, -1);
+		this.#addToTotals(job, -1);
 	}
 
-	#count(job: JobState, sign: 1 | -1): void {
+	#addToTotals(job: JobState, sign: 1 | -1): void {
 		job.team.waitingWorkMs += sign * job.workMs;
 		this.waitingWorkMs += sign * job.workMs;
 		this.waitingTasks += sign * job.demand.remaining;
@@ -214,14 +217,15 @@
 the job would wait until its deadline for slots that never come. So grants that the owner still
 doesn't report after the time-out count as lost; the owner gives back one that arrives later.
 */
-function settleGranted(job: JobState, {granted}: Demand, now: number): void {
+function reconcileGranted(job: JobState, {granted}: Demand, now: number): void {
 	if (granted === undefined) {
 		return;
 	}
 
-	const isLost = granted < job.granted && now - job.grantedAt > grantLostMs;
-	const isMissed = granted > job.granted && job.isForeign;
-	if (isLost || isMissed) {
+	const isLost =
+		granted < job.granted && now - job.grantedAt > lostGrantTimeoutMs;
+	const isUnderCounted = granted > job.granted && job.isForeign;
+	if (isLost || isUnderCounted) {
 		job.granted = granted;
 	}
 }
--- a/packages/decisions/src/keeper-state.ts
+++ b/packages/decisions/src/keeper-state.ts
@@ -6,7 +6,7 @@
 import {JobTable, type JobView} from './job-table.js';
 import {type Demand, type LenderOptions} from './lending.js';
 import {estimateRunMs, type RunEstimate} from './run-estimate.js';
-import {SlotBook} from './slot-book.js';
+import {LentSlotTable} from './lent-slot-table.js';
 
 const defaultQueueTasks = 100_000;
 const defaultLeaseMs = 1000;
@@ -23,9 +23,9 @@
 export class KeeperState {
 	readonly jobs = new JobTable();
 	readonly pool = new ExecutorPool();
-	readonly slots: SlotBook;
+	readonly slots: LentSlotTable;
 	readonly estimates = new Map<string, RunEstimate>();
-	readonly queueTasks: number;
+	readonly maxWaitingTasks: number;
 	readonly leaseMs: number;
 	/** Free slots in other data centres; undefined while unknown. */
 	remoteFree: number | undefined;
@@ -35,14 +35,14 @@
 	sweptAt = Number.NEGATIVE_INFINITY;
 	recalledAt = Number.NEGATIVE_INFINITY;
 	/** Jobs were admitted or executors changed: recalls are chosen at once instead of at the next interval. */
-	hasNews = false;
+	isRecallDue = false;
 	/** Mean run time by service with which the waiting jobs were last ranked, milliseconds. */
-	readonly #rankedBy = new Map<string, number>();
+	readonly #rankedMeanMs = new Map<string, number>();
 	#rankedSlots = 0;
 
 	constructor({firstSlot, queueTasks, leaseMs}: LenderOptions) {
-		this.slots = new SlotBook(firstSlot ?? 1);
-		this.queueTasks = queueTasks ?? defaultQueueTasks;
+		this.slots = new LentSlotTable(firstSlot ?? 1);
+		this.maxWaitingTasks = queueTasks ?? defaultQueueTasks;
 		this.leaseMs = leaseMs ?? defaultLeaseMs;
 	}
 
@@ -76,9 +76,12 @@
 	*/
 	rerankIfChanged(now: number): void {
 		const {capacity} = this.pool;
-		let isChanged = isFarOff(capacity, this.#rankedSlots);
+		let isChanged = isChangedByFactor(capacity, this.#rankedSlots);
 		for (const [service, {meanMs}] of this.estimates) {
-			isChanged ||= isFarOff(meanMs, this.#rankedBy.get(service) ?? 0);
+			isChanged ||= isChangedByFactor(
+				meanMs,
+				this.#rankedMeanMs.get(service) ?? 0,
+			);
 		}
 
 		if (!isChanged) {
@@ -87,20 +90,20 @@
 
 		this.#rankedSlots = capacity;
 		for (const [service, {meanMs}] of this.estimates) {
-			this.#rankedBy.set(service, meanMs);
+			this.#rankedMeanMs.set(service, meanMs);
 		}
 
 		this.jobs.rerank((demand) => this.viewJob(demand, now));
 	}
 
 	/** Removes another data centre's job once its last slot is released. */
-	dropIfSpent(job: JobState | undefined): void {
-		if (job?.isForeign && job.held.size === 0) {
+	dropForeignIfReleased(job: JobState | undefined): void {
+		if (job?.isForeign && job.heldSlots.size === 0) {
 			this.jobs.remove(job);
 		}
 	}
 }
 
-function isFarOff(value: number, before: number): boolean {
+function isChangedByFactor(value: number, before: number): boolean {
 	return value > before * rerankFactor || value * rerankFactor < before;
 }
--- a/packages/decisions/src/lender.test.ts
+++ b/packages/decisions/src/lender.test.ts
@@ -74,7 +74,7 @@
 test('slots of a lost owner skip the lease if its host runs another process', () => {
 	// The owner's host has restarted, so the old process can start no more tasks. If its slots stayed
 	// quarantined for the lease too, callers would wait for them without need.
-const lender = makeLender({slots: 1});
+	const lender = makeLender({slots: 1});
 	lender.demand(makeDemand(), 0);
 	lender.decide(0);
 	const {forMs} = lender.dropOwner('mieres_m1.a', 10);
--- a/packages/decisions/src/lender.ts
+++ b/packages/decisions/src/lender.ts
@@ -5,13 +5,13 @@
 */
 import {
 	grantSlots,
-	judgeNewcomers,
+	judgeNewJobs,
 	lendSlot,
 	listShortages,
 	recallSlots,
-	sweepHopeless,
+	refuseUnreachable,
 } from './decide.js';
-import {noteOutcome} from './executor-health.js';
+import {recordOutcome} from './executor-health.js';
 import {type JobState} from './job-state.js';
 import {KeeperState} from './keeper-state.js';
 import {
@@ -29,10 +29,10 @@
 import {groupRecalls} from './recall.js';
 
 /** Interval between decisions while jobs wait and no message arrives. */
-const lookEveryMs = 50;
+const idleDecisionIntervalMs = 50;
 
 /** Time-out for the answer of another data centre's keeper to a request for slots. */
-const shiftAnswerMs = 50;
+const remoteAnswerTimeoutMs = 50;
 
 /**
 Creates the decision state of one keeper. All times are in milliseconds on the caller's clock.
@@ -50,16 +50,16 @@
 export class Lender {
 	readonly #state: KeeperState;
 	/** Jobs with an unanswered request for slots at another keeper. */
-	readonly #shifting = new Set<JobState>();
+	readonly #jobsRequestedElsewhere = new Set<JobState>();
 
 	constructor(options: LenderOptions) {
 		this.#state = new KeeperState(options);
 	}
 
 	setExecutors(executors: readonly LentExecutor[], now: number): void {
-		this.#state.pool.set(executors);
+		this.#state.pool.setExecutors(executors);
 		this.#state.pool.judge(now, true);
-		this.#state.hasNews = true;
+		this.#state.isRecallDue = true;
 	}
 
 	setTeams(shares: ReadonlyMap<string, TeamShare>): void {
@@ -75,7 +75,7 @@
 	demand(demand: Demand, now: number): void {
 		const state = this.#state;
 		const job = state.jobs.update(demand, state.viewJob(demand, now));
-		state.slots.adopt(job);
+		state.slots.setJob(job);
 	}
 
 	/** Removes a job that ended or was cancelled. Its slots stay lent until they are released. */
@@ -83,7 +83,7 @@
 		const state = this.#state.jobs.lookUp(owner, job);
 		if (state) {
 			this.#state.jobs.remove(state);
-			this.#shifting.delete(state);
+			this.#jobsRequestedElsewhere.delete(state);
 		}
 	}
 
@@ -93,7 +93,7 @@
 		if (lent) {
 			this.report(slot, outcome, now);
 			this.#state.slots.release(lent);
-			this.#state.dropIfSpent(lent.job);
+			this.#state.dropForeignIfReleased(lent.job);
 		}
 	}
 
@@ -105,7 +105,7 @@
 		}
 
 		const estimate = this.#state.estimates.get(lent.service);
-		noteOutcome(lent.executor, outcome, estimate?.meanMs ?? outcome.runMs);
+		recordOutcome(lent.executor, outcome, estimate?.meanMs ?? outcome.runMs);
 		if (outcome.result === 'done') {
 			estimate?.note(outcome.runMs, now);
 		} else if (outcome.result !== 'unused') {
@@ -149,7 +149,10 @@
 		}
 	}
 
-	/** Starts the recovery of a new keeper: it lends nothing until `finishRecovery`, when all borrowers have reported their slots. */
+	/**
+	Starts the recovery of a new keeper: it lends nothing until `finishRecovery`, when all borrowers have
+	reported their slots.
+	*/
 	startRecovery(_now: number): void {
 		this.#state.isRecovering = true;
 	}
@@ -173,9 +176,9 @@
 				jobNumber,
 				lentAt: now,
 				job,
-				team: job?.team ?? jobs.teams.open(''),
+				team: job?.team ?? jobs.teams.getOrAdd(''),
 				service: job?.demand.service ?? '',
-				executor: pool.findOrEnter(executor),
+				executor: pool.getOrAdd(executor),
 			});
 		}
 	}
@@ -187,15 +190,15 @@
 	*/
 	shiftIn(demand: Demand, count: number, now: number): Grant[] {
 		const state = this.#state;
-		this.#settle(now);
-		const isWanted = state.jobs.waitingTasks + state.jobs.newcomerCount > 0;
-		const isClosed = isWanted || state.isRecovering;
-		const free = isClosed ? 0 : state.pool.countFree(now);
+		this.#applyDueChanges(now);
+		const isWanted = state.jobs.waitingTasks + state.jobs.newJobCount > 0;
+		const isNothingLendable = isWanted || state.isRecovering;
+		const free = isNothingLendable ? 0 : state.pool.countFree(now);
 		if (free === 0) {
 			return [];
 		}
 
-		const job = state.jobs.enterForeign(demand, state.viewJob(demand, now));
+		const job = state.jobs.addForeign(demand, state.viewJob(demand, now));
 		const grants: Grant[] = [];
 		while (grants.length < Math.min(count, free)) {
 			grants.push(lendSlot(state, job, state.pool.pick(now)!, now));
@@ -209,14 +212,17 @@
 		return this.#state.jobs.lookUp(owner, job)?.demand;
 	}
 
-	/** Records a request for slots at another keeper: until the answer or its time-out, these aren't also granted here. */
+	/**
+	Records a request for slots at another keeper: until the answer or its time-out, these aren't also
+	granted here.
+	*/
 	startShift(owner: string, job: number, count: number, now: number): void {
 		const state = this.#state.jobs.lookUp(owner, job);
 		if (state) {
-			state.shifting += count;
-			state.shiftingUntil = now + shiftAnswerMs;
-			this.#shifting.add(state);
-			this.#state.jobs.relist(state);
+			state.requestedElsewhere += count;
+			state.requestedElsewhereUntil = now + remoteAnswerTimeoutMs;
+			this.#jobsRequestedElsewhere.add(state);
+			this.#state.jobs.updateQueued(state);
 		}
 	}
 
@@ -228,26 +234,26 @@
 	): void {
 		const state = this.#state.jobs.lookUp(owner, job);
 		if (state) {
-			state.shifting = Math.max(0, state.shifting - asked);
+			state.requestedElsewhere = Math.max(0, state.requestedElsewhere - asked);
 			state.granted += granted;
 			state.grantedAt = now;
-			this.#state.jobs.relist(state);
+			this.#state.jobs.updateQueued(state);
 		}
 	}
 
 	/** Decides on all changes so far. Call it once for all messages of one event-loop turn. */
 	decide(now: number): LendingDecisions {
 		const state = this.#state;
-		this.#settle(now);
+		this.#applyDueChanges(now);
 		if (state.isRecovering) {
 			return {grants: [], refusals: [], recalls: [], shortages: []};
 		}
 
 		state.rerankIfChanged(now);
-		state.jobs.teams.refresh();
+		state.jobs.teams.sumWeights();
 		const refusals = [
-			...judgeNewcomers(state, now),
-			...sweepHopeless(state, now),
+			...judgeNewJobs(state, now),
+			...refuseUnreachable(state, now),
 		];
 		const grants = grantSlots(state, now);
 		const recalls = groupRecalls(recallSlots(state, now));
@@ -262,7 +268,9 @@
 		const times = [
 			slots.findNextDue(),
 			isWaiting ? pool.findNextProbe() : undefined,
-			isWaiting || this.#shifting.size > 0 ? now + lookEveryMs : undefined,
+			isWaiting || this.#jobsRequestedElsewhere.size > 0
+				? now + idleDecisionIntervalMs
+				: undefined,
 		].filter((time) => time !== undefined);
 		return times.length === 0 ? undefined : Math.max(now, Math.min(...times));
 	}
@@ -276,20 +284,20 @@
 			queuedTasks: jobs.waitingTasks,
 			queuedWorkMs: jobs.waitingWorkMs,
 			bestRank: bestOrder === undefined ? undefined : bestOrder - now,
-			leaving: pool.leavingBusy,
+			leaving: pool.leavingBusyCount,
 		};
 	}
 
-	#settle(now: number): void {
+	#applyDueChanges(now: number): void {
 		const state = this.#state;
 		state.slots.releaseDue(now);
 		state.pool.judge(now, state.hasFailures);
 		state.hasFailures = false;
-		for (const job of this.#shifting) {
-			if (job.shifting === 0 || now >= job.shiftingUntil) {
-				job.shifting = 0;
-				this.#shifting.delete(job);
-				state.jobs.relist(job);
+		for (const job of this.#jobsRequestedElsewhere) {
+			if (job.requestedElsewhere === 0 || now >= job.requestedElsewhereUntil) {
+				job.requestedElsewhere = 0;
+				this.#jobsRequestedElsewhere.delete(job);
+				state.jobs.updateQueued(job);
 			}
 		}
 	}
--- a/packages/decisions/src/lending.ts
+++ b/packages/decisions/src/lending.ts
@@ -26,7 +26,10 @@
 	deadlineInMs: number;
 	/** Time the job has waited already. */
 	waitedMs: number;
-	/** Slots granted since the job's start, as the owner knows: the starting count of a keeper that doesn't know the job yet, and a correction for lost grants. */
+	/**
+	Slots granted since the job's start, as the owner knows: the starting count of a keeper that doesn't
+	know the job yet, and a correction for lost grants.
+	*/
 	granted?: number;
 	/** An earlier keeper admitted the job: admission is not checked again. */
 	isAdmitted?: boolean;
@@ -38,7 +41,7 @@
 export type TeamShare = {
 	weight: number;
 	/** Maximum number of slots at this keeper: its part of the team's quota. */
-		quota?: number;
+	quota?: number;
 };
 
 /** How a task on a lent slot ended; `unused` if none was started. */
--- a/packages/decisions/src/slot-book.ts
+++ b/packages/decisions/src/lent-slot-table.ts
@@ -17,9 +17,9 @@
 };
 
 /** After this time a grant has arrived, or its connection has been closed because it was silent. */
-const grantArrivesMs = 3000;
+const grantDeliveryTimeoutMs = 3000;
 
-export class SlotBook {
+export class LentSlotTable {
 	readonly #slots = new Map<number, LentSlot>();
 	readonly #byOwner = new Map<string, Set<LentSlot>>();
 	/** Not sorted by time: there are few, so all are checked when one may be due. */
@@ -27,7 +27,7 @@
 	/** Slots whose job isn't known yet: a new keeper may learn of a slot before its job. */
 	readonly #orphans = new Set<LentSlot>();
 	/** Number of slots that are recalled and not yet released. */
-	#recalled = 0;
+	#recalledCount = 0;
 	#nextSlot: number;
 
 	constructor(firstSlot: number) {
@@ -38,8 +38,8 @@
 		return this.#slots.size;
 	}
 
-	get recalled(): number {
-		return this.#recalled;
+	get recalledCount(): number {
+		return this.#recalledCount;
 	}
 
 	lookUp(slot: number): LentSlot | undefined {
@@ -65,7 +65,7 @@
 		owned.add(lent);
 		this.#byOwner.set(lent.owner, owned);
 		if (lent.job) {
-			lent.job.held.set(slot, lent);
+			lent.job.heldSlots.set(slot, lent);
 		} else {
 			this.#orphans.add(lent);
 		}
@@ -79,20 +79,20 @@
 		this.#slots.delete(lent.slot);
 		this.#quarantined.delete(lent);
 		this.#orphans.delete(lent);
-		this.#recalled -= Number(lent.isRecalled);
+		this.#recalledCount -= Number(lent.isRecalled);
 		const owned = this.#byOwner.get(lent.owner);
 		owned?.delete(lent);
 		if (owned?.size === 0) {
 			this.#byOwner.delete(lent.owner);
 		}
 
-		lent.job?.held.delete(lent.slot);
+		lent.job?.heldSlots.delete(lent.slot);
 		lent.executor.busy -= 1;
 		lent.team.inUse -= 1;
 	}
 
 	/** Assigns restored slots to their job when its demand arrives. */
-	adopt(job: JobState): void {
+	setJob(job: JobState): void {
 		for (const lent of this.#orphans) {
 			if (lent.owner === job.owner && lent.jobNumber === job.job) {
 				this.#orphans.delete(lent);
@@ -101,7 +101,7 @@
 				lent.team = job.team;
 				lent.service = job.demand.service;
 				lent.team.inUse += 1;
-				job.held.set(lent.slot, lent);
+				job.heldSlots.set(lent.slot, lent);
 			}
 		}
 	}
@@ -109,8 +109,8 @@
 	/** Marks a slot as recalled. Its owner releases it when the task on it ends. */
 	markRecalled(lent: LentSlot): void {
 		lent.isRecalled = true;
-		lent.job?.held.delete(lent.slot);
-		this.#recalled += 1;
+		lent.job?.heldSlots.delete(lent.slot);
+		this.#recalledCount += 1;
 	}
 
 	listOwned(owner: string): LentSlot[] {
@@ -144,7 +144,7 @@
 			if (held.has(lent.slot)) {
 				lent.quarantinedUntil = undefined;
 				this.#quarantined.delete(lent);
-			} else if (isQuarantined || now - lent.lentAt > grantArrivesMs) {
+			} else if (isQuarantined || now - lent.lentAt > grantDeliveryTimeoutMs) {
 				this.release(lent);
 			}
 		}
--- a/packages/decisions/src/load.fixture.ts
+++ b/packages/decisions/src/load.fixture.ts
@@ -38,7 +38,7 @@
 
 export type LoadPlan = {
 	random: Random;
-	count: number;
+	jobCount: number;
 	/** Average share of slots in use: 0.8 is 80% load. */
 	load: number;
 	slots: number;
@@ -54,10 +54,17 @@
 
 /** Jobs that arrive as a Poisson process, at the rate that gives `plan.load`. */
 export function makeJobs(plan: LoadPlan): JobPlan[] {
-	const {random, count, load, slots, teams = ['cooks'], dataCentres = 1} = plan;
-	const jobs = Array.from({length: count}, () => makeJob(plan));
+	const {
+		random,
+		jobCount,
+		load,
+		slots,
+		teams = ['cooks'],
+		dataCentres = 1,
+	} = plan;
+	const jobs = Array.from({length: jobCount}, () => makeJob(plan));
 	const totalMs = jobs.reduce((sum, job) => sum + measureWork(job), 0);
-	const gapMs = totalMs / count / (slots * load);
+	const gapMs = totalMs / jobCount / (slots * load);
 	let at = 0;
 	for (const [i, job] of jobs.entries()) {
 		at -= gapMs * Math.log(random());
--- a/packages/decisions/src/load.test.ts
+++ b/packages/decisions/src/load.test.ts
@@ -33,7 +33,7 @@
 	const lastAt = Math.max(...jobs.map(({plan}) => plan.at));
 	let workMs = 0;
 	for (const job of jobs) {
-		workMs += job.state === 'done' ? job.workInTime : 0;
+		workMs += job.state === 'done' ? job.workBeforeLastArrivalMs : 0;
 	}
 
 	return workMs / (slots * lastAt);
@@ -50,7 +50,7 @@
 function makeLoad(load: number, count: number, teams = ['cooks']) {
 	return makeJobs({
 		random: seedRandom(11),
-		count,
+		jobCount: count,
 		load,
 		slots,
 		teams,
@@ -61,7 +61,7 @@
 test('at 80% load, jobs take little longer than in an empty system and few grants stay unused', () => {
 	const jobs = makeJobs({
 		random: seedRandom(11),
-		count: 2500,
+		jobCount: 2500,
 		load: 0.8,
 		slots: 240,
 	});
@@ -86,7 +86,7 @@
 test('a burst of far more work than slots completes, shortest jobs first', () => {
 	const random = seedRandom(3);
 	const jobs = Array.from({length: 200}, () =>
-		makeJob({random, count: 200, load: 1, slots}),
+		makeJob({random, jobCount: 200, load: 1, slots}),
 	);
 	const report = new Replay({jobs, executors}).run();
 	assert.equal(countByState(report, 'done'), 200);
@@ -96,12 +96,12 @@
 	assertAtMost(findPercentile(ended, 50), (totalMs / slots) * 0.4);
 });
 
-test('a team within its share is not delayed by a team that floods the queue', () => {
-	// One customer's script submits far more work than its share. Without shares, the jobs of all other teams
+test('a team within its share is not delayed by a team that asks for ten times its own', () => {
+	// One customer's script asks for ten times its share. Without shares, the jobs of all other teams
 	// would wait behind it, and their callers would be refused although they asked for little.
 	const flood = makeJobs({
 		random: seedRandom(5),
-		count: 2500,
+		jobCount: 2500,
 		load: 2.5,
 		slots,
 		teams: ['flood'],
@@ -110,7 +110,7 @@
 	const lastAt = flood.at(-1)!.at;
 	const calm = makeJobs({
 		random: seedRandom(6),
-		count: 600,
+		jobCount: 600,
 		load: 0.6,
 		slots,
 		teams: ['a', 'b', 'c'],
@@ -136,7 +136,7 @@
 	const many = makeExecutors(30);
 	const jobs = makeJobs({
 		random: seedRandom(11),
-		count: 2500,
+		jobCount: 2500,
 		load: 0.8,
 		slots: 240,
 	});
@@ -153,7 +153,7 @@
 });
 
 test('an executor that fails all its tasks makes few jobs fail', () => {
-	// It fails fast, so its slots are nearly always free and it would attract all work.
+	// The executor fails tasks fast, so its slots are nearly always free and it would attract all work.
 	const bad = executors.map((executor, i) => ({
 		...executor,
 		...(i === 0 && {run: () => ({result: 'failed' as const, runMs: 2})}),
@@ -177,7 +177,7 @@
 	}));
 	const jobs = makeJobs({
 		random,
-		count: 1000,
+		jobCount: 1000,
 		load: 0.5,
 		slots,
 		medianTasks: 1,
@@ -195,7 +195,7 @@
 	const random = seedRandom(13);
 	const long = makeJob({
 		random,
-		count: 1,
+		jobCount: 1,
 		load: 1,
 		slots,
 		medianTasks: 1700,
@@ -204,7 +204,7 @@
 	});
 	const short = makeJobs({
 		random,
-		count: 500,
+		jobCount: 500,
 		load: 0.5,
 		slots,
 		medianTasks: 3,
@@ -249,7 +249,7 @@
 	const far = makeExecutors(12, 3);
 	const jobs = makeJobs({
 		random: seedRandom(21),
-		count: 1500,
+		jobCount: 1500,
 		load: 0.6,
 		slots: 96,
 	});
--- a/packages/decisions/src/placement.ts
+++ b/packages/decisions/src/placement.ts
@@ -4,7 +4,7 @@
 import {type ExecutorState} from './executor-health.js';
 
 /** Minimum success rate used for an executor: prevents division by zero. */
-const leastReliability = 0.1;
+const minReliability = 0.1;
 
 /** Whether a slot of the executor may be lent now. */
 export function hasFreeSlot(executor: ExecutorState, now: number): boolean {
@@ -12,9 +12,9 @@
 		return false;
 	}
 
-	return executor.isShutOut
+	return executor.isEjected
 		? executor.busy === 0 && now >= executor.probeAt
-		: executor.busy < Math.min(executor.limit, executor.slots);
+		: executor.busy < Math.min(executor.slotLimit, executor.slots);
 }
 
 /**
@@ -42,11 +42,11 @@
 }
 
 function measureLoad(executor: ExecutorState): number {
-	if (executor.isShutOut) {
+	if (executor.isEjected) {
 		return 0;
 	}
 
-	const reliability = Math.max(leastReliability, 1 - executor.failureRate);
+	const reliability = Math.max(minReliability, 1 - executor.failureRate);
 	return (
 		((executor.busy + 1) * executor.slowRatio) / (executor.slots * reliability)
 	);
--- a/packages/decisions/src/rank.ts
+++ b/packages/decisions/src/rank.ts
@@ -15,10 +15,10 @@
 export const ageingFactor = 100;
 
 /** The waiting job's rank must be better by this factor before an owner gives up a slot for it. */
-export const reuseFactor = 2;
+export const reuseRankFactor = 2;
 
 /** Below this difference in rank an owner keeps its slot: the message and idle time would cost more. */
-export const reuseMarginMs = 20;
+export const minReuseLeadMs = 20;
 
 /** The fields of a job that determine its rank; `taskMs` is the run time of one task. */
 export type RankInput = {remaining: number; taskMs: number; waitedMs: number};
@@ -31,22 +31,22 @@
 
 /**
 Returns true if an owner keeps a lent slot for its job's next task, and false if it releases the slot for
-the keeper's best waiting job, whose rank is `headRank` (undefined if none waits). A 1,700-task job that
-kept its slots to its end would block short jobs for seconds. The required lead prevents two jobs of
-similar rank from passing a slot back and forth, at the cost of a message each time.
+the keeper's best waiting job, whose rank is `bestWaitingRank` (undefined if none waits). A 1,700-task job
+that kept its slots to its end would block short jobs for seconds. The required lead prevents two jobs
+of similar rank from passing a slot back and forth, at the cost of a message each time.
 */
-export function chooseReuse(
+export function keepsSlot(
 	ownRank: number,
-	headRank: number | undefined,
+	bestWaitingRank: number | undefined,
 ): boolean {
-	if (headRank === undefined) {
+	if (bestWaitingRank === undefined) {
 		return true;
 	}
 
-	const lead = ownRank - headRank;
-	const leastLead = Math.max(
-		reuseMarginMs,
-		Math.abs(ownRank) * (1 - 1 / reuseFactor),
+	const lead = ownRank - bestWaitingRank;
+	const minLead = Math.max(
+		minReuseLeadMs,
+		Math.abs(ownRank) * (1 - 1 / reuseRankFactor),
 	);
-	return lead < leastLead;
+	return lead < minLead;
 }
--- a/packages/decisions/src/ranked-list.ts
+++ b/packages/decisions/src/ranked-list.ts
@@ -22,19 +22,19 @@
 	}
 
 	insert(item: Item): void {
-		this.items.splice(this.findPlace(item), 0, item);
+		this.items.splice(this.findPosition(item), 0, item);
 	}
 
 	/** Removes an item; does nothing if it isn't in the list. */
 	remove(item: Item): void {
-		const place = this.findPlace(item);
-		if (this.items[place] === item) {
-			this.items.splice(place, 1);
+		const index = this.findPosition(item);
+		if (this.items[index] === item) {
+			this.items.splice(index, 1);
 		}
 	}
 
 	/** Index of the item, or the index at which it would be inserted. */
-	findPlace(item: Ranked): number {
+	findPosition(item: Ranked): number {
 		let low = 0;
 		let high = this.items.length;
 		while (low < high) {
--- a/packages/decisions/src/recall.ts
+++ b/packages/decisions/src/recall.ts
@@ -6,20 +6,23 @@
 import {type TeamState} from './team-table.js';
 
 /**
-A waiting job gets a holder's slot only if it has less than this fraction (1 in 4) of the holder's work. A
-recall costs a message and idle time; two jobs of similar size would pass slots back and forth and both
-end later.
+If neither urgency nor team shares decide, a waiting job gets a holder's slot only if its work times this
+factor is less than the holder's. A recall costs a message and idle time; two jobs of similar size would
+pass slots back and forth and both end later.
 */
-export const recallFactor = 4;
+export const recallWorkFactor = 4;
 
-/** Maximum number of recalls for waiting jobs in one decision; the others follow in the next if still wanted. */
-const mostRecalls = 64;
+/**
+Maximum number of recalls for waiting jobs in one decision; the others follow in the next if still
+wanted.
+*/
+const maxRecalls = 64;
 
 type RecallView = {
 	teams: Iterable<TeamState>;
 	slots: Iterable<LentSlot>;
 	/** Slots per unit of team weight. */
-	perWeight: number;
+	slotsPerWeight: number;
 	/** Slots that are recalled and not yet released. */
 	outstanding: number;
 	/** Marks a slot as recalled and removes it from its job's held slots. */
@@ -35,25 +38,25 @@
 otherwise slots would be returned that no job uses.
 */
 export function chooseRecalls(view: RecallView): LentSlot[] {
-	const waiting = listWaiting(view.teams);
+	const waiting = listBestWaiting(view.teams);
 	if (waiting.length === 0) {
 		return [];
 	}
 
 	const holders = listHolders(view.slots);
 	const recalled: LentSlot[] = [];
-	let uncovered = -view.outstanding;
+	let unmet = -view.outstanding;
 	for (const job of waiting) {
-		uncovered += countRoom(job, countWanted(job));
-		while (uncovered > 0 && recalled.length < mostRecalls) {
-			const lent = takeFrom(holders, job, view.perWeight);
+		unmet += countWithinQuota(job, countWanted(job));
+		while (unmet > 0 && recalled.length < maxRecalls) {
+			const lent = findSlotToRecall(holders, job, view.slotsPerWeight);
 			if (!lent) {
 				return recalled;
 			}
 
 			view.markRecalled(lent);
 			recalled.push(lent);
-			uncovered -= 1;
+			unmet -= 1;
 		}
 	}
 
@@ -72,18 +75,18 @@
 	return [...byOwner].map(([owner, slots]) => ({owner, slots}));
 }
 
-function countRoom({team}: JobState, wanted: number): number {
+function countWithinQuota({team}: JobState, wanted: number): number {
 	return Math.min(wanted, Math.max(0, team.quota - team.inUse));
 }
 
 /** The best waiting jobs, best first: no more than there can be recalls. */
-function listWaiting(teams: Iterable<TeamState>): JobState[] {
+function listBestWaiting(teams: Iterable<TeamState>): JobState[] {
 	const heads: JobState[] = [];
 	for (const {waiting} of teams) {
-		heads.push(...waiting.items.slice(0, mostRecalls));
+		heads.push(...waiting.items.slice(0, maxRecalls));
 	}
 
-	return heads.toSorted((a, b) => a.order - b.order).slice(0, mostRecalls);
+	return heads.toSorted((a, b) => a.order - b.order).slice(0, maxRecalls);
 }
 
 /** Jobs with slots that may be recalled, worst rank last. */
@@ -98,26 +101,26 @@
 	return [...holders].toSorted((a, b) => a.order - b.order);
 }
 
-function takeFrom(
+function findSlotToRecall(
 	holders: JobState[],
 	waiting: JobState,
-	perWeight: number,
+	slotsPerWeight: number,
 ): LentSlot | undefined {
 	const holder = holders.findLast(
 		(candidate) =>
-			candidate.held.size > 0 &&
-			isWorthRecalling(waiting, candidate, perWeight),
+			candidate.heldSlots.size > 0 &&
+			isWorthRecalling(waiting, candidate, slotsPerWeight),
 	);
-	return holder?.held.values().next().value;
+	return holder?.heldSlots.values().next().value;
 }
 
 function isWorthRecalling(
 	waiting: JobState,
 	holder: JobState,
-	perWeight: number,
+	slotsPerWeight: number,
 ): boolean {
-	const isWaitingBelow = isBelowShare(waiting.team, perWeight, 0);
-	const isHolderBelow = isBelowShare(holder.team, perWeight, 1);
+	const isWaitingBelow = isBelowShare(waiting.team, slotsPerWeight, 0);
+	const isHolderBelow = isBelowShare(holder.team, slotsPerWeight, 1);
 	if (waiting.team !== holder.team && isWaitingBelow !== isHolderBelow) {
 		return isWaitingBelow;
 	}
@@ -128,16 +131,16 @@
 
 	return (
 		waiting.order < holder.order &&
-		waiting.workMs * recallFactor < holder.workMs
+		waiting.workMs * recallWorkFactor < holder.workMs
 	);
 }
 
 function isBelowShare(
 	team: TeamState,
-	perWeight: number,
+	slotsPerWeight: number,
 	margin: number,
 ): boolean {
-	return team.inUse < perWeight * team.weight + margin;
+	return team.inUse < slotsPerWeight * team.weight + margin;
 }
 
 /**
@@ -151,13 +154,13 @@
 	const unwanted: LentSlot[] = [];
 	for (const lent of slots) {
 		const {executor, isRecalled, quarantinedUntil, lentAt} = lent;
-		const isUnwanted = executor.isLeaving || executor.isShutOut;
-		// A slot lent in this decision is a probe that hasn't got its task yet.
-		const isFresh = lentAt >= now && !executor.isLeaving;
+		const isUnwanted = executor.isLeaving || executor.isEjected;
+		// A slot of an ejected executor that was lent in this decision is a probe that hasn't got its task yet.
+		const isNewProbe = lentAt >= now && !executor.isLeaving;
 		if (
 			isUnwanted &&
 			!isRecalled &&
-			!isFresh &&
+			!isNewProbe &&
 			quarantinedUntil === undefined
 		) {
 			unwanted.push(lent);
--- a/packages/decisions/src/replay.fixture.ts
+++ b/packages/decisions/src/replay.fixture.ts
@@ -4,7 +4,7 @@
 */
 import {createLender, type Lender} from './lender.js';
 import {type Grant, type SlotOutcome, type TeamShare} from './lending.js';
-import {chooseReuse, rankJob} from './rank.js';
+import {keepsSlot, rankJob} from './rank.js';
 import {RankedList} from './ranked-list.js';
 
 export type JobPlan = {
@@ -31,9 +31,9 @@
 	plan: JobPlan;
 	state: 'open' | 'done' | 'failed' | 'refused' | 'cancelled' | 'late';
 	endedAt: number;
-	workDone: number;
-	/** The part of `workDone` that was done before the last arrival. */
-	workInTime: number;
+	workDoneMs: number;
+	/** The part of `workDoneMs` that was done before the last arrival. */
+	workBeforeLastArrivalMs: number;
 };
 
 export type ReplayPlan = {
@@ -42,8 +42,8 @@
 	dataCentres?: number;
 	teams?: Map<string, TeamShare>;
 	/** One-way message delays inside a data centre and between two. */
-	nearMs?: number;
-	farMs?: number;
+	localDelayMs?: number;
+	remoteDelayMs?: number;
 };
 
 export type ReplayReport = {
@@ -57,16 +57,16 @@
 type Slot = Grant & {keeper: number; isRecalled: boolean};
 type Job = JobRecord & {
 	number: number;
-	next: number;
-	done: number;
+	nextTask: number;
+	doneTasks: number;
 	granted: number;
-	elsewhere: number;
+	heldElsewhere: number;
 	slots: Set<Slot>;
 };
 type Event = {order: number; sequence: number; run: () => void};
 
 /** Interval at which keepers exchange their numbers of free slots. */
-const stateEveryMs = 5;
+const stateIntervalMs = 5;
 
 function sum(numbers: number[]): number {
 	let total = 0;
@@ -83,10 +83,10 @@
 	readonly #events = new RankedList<Event>();
 	#sequence = 0;
 	readonly #plan: ReplayPlan;
-	readonly #lastAt: number;
+	readonly #lastArrivalAt: number;
 	readonly #keepers: Lender[] = [];
 	readonly #isDeciding: boolean[] = [];
-	readonly #wakeAt: number[] = [];
+	readonly #nextDecisionAt: number[] = [];
 	readonly #free: number[] = [];
 	readonly #jobs: Job[];
 	readonly #slots = new Map<string, Slot>();
@@ -94,18 +94,18 @@
 
 	constructor(plan: ReplayPlan) {
 		this.#plan = plan;
-		this.#lastAt = Math.max(...plan.jobs.map(({at}) => at));
+		this.#lastArrivalAt = Math.max(...plan.jobs.map(({at}) => at));
 		this.#jobs = plan.jobs.map((job, number) => ({
 			plan: job,
 			state: 'open',
 			endedAt: 0,
-			workDone: 0,
-			workInTime: 0,
+			workDoneMs: 0,
+			workBeforeLastArrivalMs: 0,
 			number,
-			next: 0,
-			done: 0,
+			nextTask: 0,
+			doneTasks: 0,
 			granted: 0,
-			elsewhere: 0,
+			heldElsewhere: 0,
 			slots: new Set<Slot>(),
 		}));
 		this.report = {
@@ -115,11 +115,11 @@
 			recalls: 0,
 			endedAt: 0,
 		};
-		for (let place = 0; place < (plan.dataCentres ?? 1); place += 1) {
+		for (let index = 0; index < (plan.dataCentres ?? 1); index += 1) {
 			const keeper = createLender();
 			keeper.setExecutors(
 				plan.executors
-					.filter(({dataCentre}) => dataCentre === place)
+					.filter(({dataCentre}) => dataCentre === index)
 					.map(({name, slots}) => ({name, slots, isLeaving: false})),
 				0,
 			);
@@ -130,7 +130,7 @@
 
 	run(): ReplayReport {
 		for (const job of this.#jobs) {
-			this.#at(job.plan.at, () => {
+			this.#schedule(job.plan.at, () => {
 				this.#submit(job);
 			});
 		}
@@ -149,45 +149,47 @@
 		return this.report;
 	}
 
-	#at(time: number, run: () => void): void {
+	#schedule(time: number, run: () => void): void {
 		this.#sequence += 1;
 		this.#events.insert({order: time, sequence: this.#sequence, run});
 	}
 
-	#delay(from: number, to: number): number {
-		return from === to ? (this.#plan.nearMs ?? 0.3) : (this.#plan.farMs ?? 1);
+	#getDelayMs(from: number, to: number): number {
+		return from === to
+			? (this.#plan.localDelayMs ?? 0.3)
+			: (this.#plan.remoteDelayMs ?? 1);
 	}
 
 	#submit(job: Job): void {
-		this.#tell(job);
-		this.#at(job.plan.at + job.plan.deadlineMs, () => {
+		this.#sendDemand(job);
+		this.#schedule(job.plan.at + job.plan.deadlineMs, () => {
 			this.#end(job, 'late');
 		});
 		if (job.plan.cancelAt !== undefined) {
-			this.#at(job.plan.cancelAt, () => {
+			this.#schedule(job.plan.cancelAt, () => {
 				this.#end(job, 'cancelled');
 			});
 		}
 	}
 
 	#describe(job: Job) {
-		const {plan, number, done, granted, next, elsewhere} = job;
+		const {plan, number, doneTasks, granted, nextTask, heldElsewhere} = job;
 		return {
 			owner: `host-${plan.dataCentre}`,
 			job: number,
 			service: 'meals',
 			team: plan.team,
-			remaining: plan.runMs.length - done,
-			asked: granted + plan.runMs.length - next,
+			remaining: plan.runMs.length - doneTasks,
+			asked: granted + plan.runMs.length - nextTask,
 			taskMs: plan.declaredMs,
 			deadlineInMs: plan.at + plan.deadlineMs - this.now,
 			waitedMs: this.now - plan.at,
-			heldElsewhere: elsewhere,
+			heldElsewhere,
 		};
 	}
 
 	/** Sends the job's demand to its keeper. */
-	#tell(job: Job): void {
+	#sendDemand(job: Job): void {
 		const keeper = job.plan.dataCentre;
 		const demand = this.#describe(job);
 		this.#send(keeper, keeper, (lender) => {
@@ -196,16 +198,16 @@
 	}
 
 	#send(from: number, keeper: number, act: (lender: Lender) => void): void {
-		this.#at(this.now + this.#delay(from, keeper), () => {
+		this.#schedule(this.now + this.#getDelayMs(from, keeper), () => {
 			act(this.#keepers[keeper]!);
-			this.#wake(keeper);
+			this.#scheduleDecision(keeper);
 		});
 	}
 
-	#wake(keeper: number): void {
+	#scheduleDecision(keeper: number): void {
 		if (!this.#isDeciding[keeper]) {
 			this.#isDeciding[keeper] = true;
-			this.#at(this.now, () => {
+			this.#schedule(this.now, () => {
 				this.#isDeciding[keeper] = false;
 				this.#decide(keeper);
 			});
@@ -217,7 +219,7 @@
 		const {grants, refusals, recalls, shortages} = lender.decide(this.now);
 		this.#deliver(keeper, grants);
 		for (const refusal of refusals) {
-			this.#at(this.now + this.#delay(keeper, keeper), () => {
+			this.#schedule(this.now + this.#getDelayMs(keeper, keeper), () => {
 				this.#end(this.#jobs[refusal.job]!, 'refused');
 			});
 		}
@@ -225,7 +227,7 @@
 		for (const slot of recalls.flatMap((recall) => recall.slots)) {
 			this.report.recalls += 1;
 			const lent = this.#slots.get(`${keeper}/${slot}`);
-			this.#at(this.now + this.#delay(keeper, keeper), () => {
+			this.#schedule(this.now + this.#getDelayMs(keeper, keeper), () => {
 				if (lent) {
 					lent.isRecalled = true;
 				}
@@ -236,19 +238,19 @@
 			this.#shift(keeper, this.#jobs[shortage.job]!, shortage.count);
 		}
 
-		this.#wakeLater(keeper, lender.nextDecisionAt(this.now));
+		this.#scheduleNextDecision(keeper, lender.nextDecisionAt(this.now));
 	}
 
-	#wakeLater(keeper: number, next: number | undefined): void {
-		const planned = this.#wakeAt[keeper] ?? 0;
+	#scheduleNextDecision(keeper: number, next: number | undefined): void {
+		const planned = this.#nextDecisionAt[keeper] ?? 0;
 		if (next === undefined || (planned > this.now && planned <= next)) {
 			return;
 		}
 
 		const time = Math.max(next, this.now + 1);
-		this.#wakeAt[keeper] = time;
-		this.#at(time, () => {
-			this.#wake(keeper);
+		this.#nextDecisionAt[keeper] = time;
+		this.#schedule(time, () => {
+			this.#scheduleDecision(keeper);
 		});
 	}
 
@@ -257,14 +259,17 @@
 			const job = this.#jobs[grant.job]!;
 			const slot = {...grant, keeper, isRecalled: false};
 			this.#slots.set(`${keeper}/${grant.slot}`, slot);
-			this.#at(this.now + this.#delay(keeper, job.plan.dataCentre), () => {
-				this.#take(job, slot);
-			});
+			this.#schedule(
+				this.now + this.#getDelayMs(keeper, job.plan.dataCentre),
+				() => {
+					this.#receiveGrant(job, slot);
+				},
+			);
 		}
 	}
 
 	#shift(from: number, job: Job, wanted: number): void {
-		const others = this.#free.map((free, place) => (place === from ? 0 : free));
+		const others = this.#free.map((free, index) => (index === from ? 0 : free));
 		const to = others.indexOf(Math.max(...others));
 		const asked = Math.min(wanted, this.#free[to] ?? 0);
 		if (to === from || asked < 1) {
@@ -288,27 +293,27 @@
 	}
 
 	#exchangeStates(): void {
-		for (const [place, keeper] of this.#keepers.entries()) {
-			this.#free[place] = keeper.readState(this.now).free;
+		for (const [dataCentre, keeper] of this.#keepers.entries()) {
+			this.#free[dataCentre] = keeper.readState(this.now).free;
 		}
 
-		for (const [place, keeper] of this.#keepers.entries()) {
-			const others = this.#free.filter((_, index) => index !== place);
+		for (const [dataCentre, keeper] of this.#keepers.entries()) {
+			const others = this.#free.filter((_, index) => index !== dataCentre);
 			keeper.setRemoteFree(sum(others));
 		}
 
 		if (this.#jobs.some(({state}) => state === 'open')) {
-			this.#at(this.now + stateEveryMs, () => {
+			this.#schedule(this.now + stateIntervalMs, () => {
 				this.#exchangeStates();
 			});
 		}
 	}
 
-	#take(job: Job, slot: Slot): void {
+	#receiveGrant(job: Job, slot: Slot): void {
 		job.granted += 1;
-		job.elsewhere += Number(slot.keeper !== job.plan.dataCentre);
+		job.heldElsewhere += Number(slot.keeper !== job.plan.dataCentre);
 		job.slots.add(slot);
-		if (job.state !== 'open' || job.next === job.plan.runMs.length) {
+		if (job.state !== 'open' || job.nextTask === job.plan.runMs.length) {
 			this.report.unusedGrants += 1;
 			this.#giveBack(job, slot, {result: 'unused', runMs: 0});
 			return;
@@ -318,8 +323,8 @@
 	}
 
 	#start(job: Job, slot: Slot): void {
-		const runMs = job.plan.runMs[job.next]!;
-		job.next += 1;
+		const runMs = job.plan.runMs[job.nextTask]!;
+		job.nextTask += 1;
 		this.report.starts += 1;
 		const executor = this.#plan.executors.find(
 			({name}) => name === slot.executor,
@@ -333,8 +338,8 @@
 		}
 
 		const outcome = executor.run?.(runMs) ?? {result: 'done', runMs};
-		const wayMs = 2 * this.#delay(job.plan.dataCentre, slot.keeper);
-		this.#at(this.now + outcome.runMs + wayMs, () => {
+		const roundTripMs = 2 * this.#getDelayMs(job.plan.dataCentre, slot.keeper);
+		this.#schedule(this.now + outcome.runMs + roundTripMs, () => {
 			this.#busy.set(slot.executor, this.#busy.get(slot.executor)! - 1);
 			this.#finish(job, slot, {outcome, runMs});
 		});
@@ -346,19 +351,21 @@
 		{outcome, runMs}: {outcome: SlotOutcome; runMs: number},
 	): void {
 		if (outcome.result === 'done') {
-			job.done += 1;
-			job.workDone += runMs;
-			job.workInTime += this.now <= this.#lastAt ? runMs : 0;
+			job.doneTasks += 1;
+			job.workDoneMs += runMs;
+			job.workBeforeLastArrivalMs +=
+				this.now <= this.#lastArrivalAt ? runMs : 0;
 		} else {
 			this.#end(job, 'failed');
 		}
 
-		if (job.done === job.plan.runMs.length) {
+		if (job.doneTasks === job.plan.runMs.length) {
 			this.#end(job, 'done');
 		}
 
-		const isLeft = job.state === 'open' && job.next < job.plan.runMs.length;
-		if (!isLeft || slot.isRecalled || !this.#keepsSlot(job, slot)) {
+		const hasTasksLeft =
+			job.state === 'open' && job.nextTask < job.plan.runMs.length;
+		if (!hasTasksLeft || slot.isRecalled || !this.#keepsSlot(job, slot)) {
 			this.#giveBack(job, slot, outcome);
 		} else {
 			this.#send(job.plan.dataCentre, slot.keeper, (lender) => {
@@ -368,14 +375,14 @@
 		}
 
 		if (job.state === 'open') {
-			this.#tell(job);
+			this.#sendDemand(job);
 		}
 	}
 
 	#keepsSlot(job: Job, slot: Slot): boolean {
 		const {remaining, taskMs, waitedMs} = this.#describe(job);
 		const state = this.#keepers[slot.keeper]!.readState(this.now);
-		return chooseReuse(
+		return keepsSlot(
 			rankJob({remaining, taskMs, waitedMs}, state.slots),
 			state.bestRank,
 		);
@@ -383,7 +390,7 @@
 
 	#giveBack(job: Job, slot: Slot, outcome: SlotOutcome): void {
 		job.slots.delete(slot);
-		job.elsewhere -= Number(slot.keeper !== job.plan.dataCentre);
+		job.heldElsewhere -= Number(slot.keeper !== job.plan.dataCentre);
 		this.#send(job.plan.dataCentre, slot.keeper, (lender) => {
 			lender.release(slot.slot, outcome, this.now);
 		});
--- a/packages/decisions/src/run-estimate.ts
+++ b/packages/decisions/src/run-estimate.ts
@@ -7,19 +7,22 @@
 const priorSamples = 2;
 
 /** Minimum weight of a new sample: the estimate follows a change within about fifty tasks. */
-const leastWeight = 0.02;
+const minWeight = 0.02;
 
 /** Number of samples from which the estimate replaces the declared run time. */
-const trustedSamples = 8;
+const learnedSamples = 8;
 
-/** Standard deviation of log run time assumed before any sample: the 99th percentile is about 5 times the median. */
+/**
+Standard deviation of log run time assumed before any sample: the 99th percentile is about 5 times the
+median.
+*/
 const priorLogSpread = 0.7;
 
 /** The 99th percentile of the standard normal distribution. */
 const normalP99 = 2.33;
 
 /** Shorter run times are raised to this: logarithms need a positive number. */
-const shortestRunMs = 0.01;
+const minRunMs = 0.01;
 
 export type RunEstimate = {
 	/** Learned mean, milliseconds; the prior before the first sample. */
@@ -44,7 +47,7 @@
 */
 export function estimateRunMs(priorMs: number): RunEstimate {
 	let samples = 0;
-	let meanMs = Math.max(priorMs, shortestRunMs);
+	let meanMs = Math.max(priorMs, minRunMs);
 	let logMean = Math.log(meanMs);
 	let logVariance = priorLogSpread ** 2;
 	let lastSampleAt: number | undefined;
@@ -57,16 +60,16 @@
 			return Math.max(p99, meanMs);
 		},
 		get isLearned() {
-			return samples >= trustedSamples;
+			return samples >= learnedSamples;
 		},
 		get lastSampleAt() {
 			return lastSampleAt;
 		},
 		note(runMs, now) {
-			const run = Math.max(runMs, shortestRunMs);
+			const run = Math.max(runMs, minRunMs);
 			samples += 1;
 			lastSampleAt = now;
-			const weight = Math.max(1 / (samples + priorSamples), leastWeight);
+			const weight = Math.max(1 / (samples + priorSamples), minWeight);
 			const logError = Math.log(run) - logMean;
 			meanMs += weight * (run - meanMs);
 			logMean += weight * logError;
--- a/packages/decisions/src/team-table.ts
+++ b/packages/decisions/src/team-table.ts
@@ -1,5 +1,6 @@
 /**
-The teams at one keeper: their slots in use, their waiting jobs, and the choice of the job that gets the next slot.
+The teams at one keeper: their slots in use, their waiting jobs, and the choice of the job that gets the
+next slot.
 */
 import {type TeamShare} from './lending.js';
 import {RankedList} from './ranked-list.js';
@@ -10,18 +11,21 @@
 	weight: number;
 	quota: number;
 	/** Number of known jobs, waiting or not. */
-	jobs: number;
+	jobCount: number;
 	/** Number of slots lent to the team's jobs. */
 	inUse: number;
 	/** Moving average of `inUse`: what the team gets when it asks for more than its share. */
-	usualSlots: number;
+	averageInUse: number;
 	/** Admitted jobs that want more slots. */
 	readonly waiting: RankedList<JobState>;
 	/** Work of the waiting jobs, slot-milliseconds. */
 	waitingWorkMs: number;
 };
 
-/** Weight of the newest sample of slots in use. With a sample every 50 ms, the average covers about half a second. */
+/**
+Weight of the newest sample of slots in use. With a sample every 50 ms, the average covers about half a
+second.
+*/
 const sampleWeight = 0.1;
 
 const defaultShare: TeamShare = {weight: 1};
@@ -29,7 +33,7 @@
 export class TeamTable {
 	readonly #teams = new Map<string, TeamState>();
 	#shares: ReadonlyMap<string, TeamShare> = new Map();
-	#weights = 0;
+	#totalWeight = 0;
 
 	setShares(shares: ReadonlyMap<string, TeamShare>): void {
 		this.#shares = shares;
@@ -39,7 +43,7 @@
 	}
 
 	/** Returns the team's state; creates it on first use. */
-	open(name: string): TeamState {
+	getOrAdd(name: string): TeamState {
 		const present = this.#teams.get(name);
 		if (present) {
 			return present;
@@ -48,9 +52,9 @@
 		const team: TeamState = {
 			name,
 			...this.#readShare(name),
-			jobs: 0,
+			jobCount: 0,
 			inUse: 0,
-			usualSlots: 0,
+			averageInUse: 0,
 			waiting: new RankedList(),
 			waitingWorkMs: 0,
 		};
@@ -58,10 +62,13 @@
 		return team;
 	}
 
-	/** Removes teams without jobs or slots, so that memory depends on the load, not on the number of teams ever seen. */
+	/**
+	Removes teams without jobs or slots, so that memory depends on the load, not on the number of teams
+	ever seen.
+	*/
 	dropIdle(): void {
 		for (const team of this.#teams.values()) {
-			if (team.jobs === 0 && team.inUse === 0) {
+			if (team.jobCount === 0 && team.inUse === 0) {
 				this.#teams.delete(team.name);
 			}
 		}
@@ -76,18 +83,21 @@
 	}
 
 	/** Sum of the weights of the teams that have slots or waiting jobs, as of the last update in `decide`. */
-	get weights(): number {
-		return this.#weights;
+	get totalWeight(): number {
+		return this.#totalWeight;
 	}
 
-	/** Sums up the weights. Called once per decision, not per grant: with 800 teams the sum costs more than a grant. */
-	refresh(): void {
-		let weights = 0;
+	/**
+	Sums up the weights. Called once per decision, not per grant: with 800 teams the sum costs more than a
+	grant.
+	*/
+	sumWeights(): void {
+		let totalWeight = 0;
 		for (const team of this.#teams.values()) {
-			weights += isActive(team) ? team.weight : 0;
+			totalWeight += isActive(team) ? team.weight : 0;
 		}
 
-		this.#weights = weights;
+		this.#totalWeight = totalWeight;
 	}
 
 	/**
@@ -97,19 +107,19 @@
 	its share will go on asking.
 	*/
 	estimateShare(team: TeamState, capacity: number, free: number): number {
-		const newWeight = isActive(team) ? 0 : team.weight;
-		const weights = this.#weights + newWeight;
-		const fair = (capacity * team.weight) / weights;
+		const addedWeight = isActive(team) ? 0 : team.weight;
+		const totalWeight = this.#totalWeight + addedWeight;
+		const fairSlots = (capacity * team.weight) / totalWeight;
 		return Math.max(
 			1,
-			Math.min(team.quota, Math.max(fair, team.usualSlots + free)),
+			Math.min(team.quota, Math.max(fairSlots, team.averageInUse + free)),
 		);
 	}
 
 	/** Samples the slots in use of each team. Must be called at regular intervals. */
 	sampleUse(): void {
 		for (const team of this.#teams.values()) {
-			team.usualSlots += sampleWeight * (team.inUse - team.usualSlots);
+			team.averageInUse += sampleWeight * (team.inUse - team.averageInUse);
 		}
 	}
 
@@ -119,8 +129,8 @@
 	a task's run time at most. A team at its quota gets no slot. Among teams below their share, and among
 	the others for slots that remain, the job with the best rank goes first.
 	*/
-	pickNext(capacity: number): JobState | undefined {
-		const perWeight = capacity / this.#weights;
+	pickNextJob(capacity: number): JobState | undefined {
+		const slotsPerWeight = capacity / this.#totalWeight;
 		let best: JobState | undefined;
 		let isBestBelowShare = false;
 		for (const team of this.#teams.values()) {
@@ -129,7 +139,7 @@
 				continue;
 			}
 
-			const isBelowShare = team.inUse < perWeight * team.weight;
+			const isBelowShare = team.inUse < slotsPerWeight * team.weight;
 			const isBetter =
 				best === undefined ||
 				(isBelowShare === isBestBelowShare
