--- a/packages/decisions/src/executor-health.ts
+++ b/packages/decisions/src/executor-health.ts
@@ -1,67 +1,71 @@
 /**
-What is learned about one executor from how tasks on it ended, and how many of its slots are
-lent on account of it, compared with its peers.
+Health of executors: failure rate and speed are learned from how tasks ended, and compared with those of
+the peers. The result limits how many slots of each executor are lent. An executor that does much worse
+is ejected: it gets single probe tasks only, until they succeed.
 */
 import {type SlotOutcome} from './lending.js';
 
-/** Weight of the newest outcome in the rate of failures: three failures in a row pass one half. */
+/** Weight of the newest outcome in the failure rate: three failures in a row bring it above one half. */
 const failureWeight = 0.25;
 
-/** Rate of failures from which an executor is shut out, if its peers do much better. */
-const shutFailureRate = 0.5;
+/** Failure rate above which an executor is ejected, if its peers do much better. */
+const ejectFailureRate = 0.5;
 
-/** How much worse than its peers a failing executor must be: all failing alike shut out nobody. */
-const shutFailureFactor = 3;
+/**
+A failing executor is ejected only above this multiple of the median failure rate; if all fail alike,
+none is.
+*/
+const ejectFailureFactor = 3;
 
-/** Least weight of the newest run time in the learned speed. */
-const leastSpeedWeight = 0.05;
+/** Minimum weight of the newest run time in the learned speed. */
+const minSpeedWeight = 0.05;
 
-/** Slowness below this factor is noise or mere wear: the executor keeps all its slots. */
-const slowFactor = 1.5;
+/** A `slowRatio` below this is noise or a minor slowdown: the executor keeps all its slots. */
+const minSlowRatio = 1.5;
 
-/** Samples needed before any judgement of speed. */
-const leastSpeedSamples = 3;
+/** Samples needed before an executor's speed is judged. */
+const minSpeedSamples = 3;
 
-/** Strength of evidence for slowness: root of samples times the logarithm of the factor. */
-const slowEvidence = 2.5;
+/** Evidence needed to treat an executor as slow: square root of the samples times log of `slowRatio`. */
+const minSlowEvidence = 2.5;
 
-/** Learned speed counts half at this many samples: run times of few tasks say little. */
-const doubtedSamples = 4;
+/** With this many samples the learned speed counts half: run times of few tasks say little. */
+const halfTrustSamples = 4;
 
-/** Probes slower than this keep a shut-out executor shut. */
-const reopenFactor = 2.5;
+/** An ejected executor stays ejected while its probes take this many times its peers' run times, or more. */
+const keepEjectedRatio = 2.5;
 
-/** More samples than the learned speed remembers don't strengthen the evidence. */
-const rememberedSamples = 40;
+/** Samples beyond this don't strengthen the evidence: the learned speed no longer reflects older ones. */
+const maxEvidenceSamples = 40;
 
-/** First wait before a shut-out executor is tried with one task, and the longest, milliseconds. */
-const firstProbeMs = 1000;
-const longestProbeMs = 32_000;
+/** Shortest and longest wait before an ejected executor gets a probe task. */
+const minProbeIntervalMs = 1000;
+const maxProbeIntervalMs = 32_000;
 
-/** Good probes in a row that open a shut-out executor again. */
-const probesToOpen = 2;
+/** Consecutive successful probes after which an ejected executor is restored. */
+const probesToRestore = 2;
 
-/** Share of executors that may be shut out at once: the rest must carry the load. */
-const mostShutOut = 0.5;
+/** Maximum share of executors that are ejected at once: the rest must carry the load. */
+const maxEjectedShare = 0.5;
 
 export type ExecutorState = {
 	readonly name: string;
 	slots: number;
 	isLeaving: boolean;
-	/** Slots lent or quarantined. */
+	/** Number of slots that are lent or quarantined. */
 	busy: number;
-	/** Slots that may be lent, by its health. */
-	limit: number;
+	/** Number of slots that may be lent given the executor's health. */
+	slotLimit: number;
 	failureRate: number;
-	/** Logarithm of run time over the service's mean. */
-	slowness: number;
+	/** Moving average of the logarithm of run time over the service's mean run time. */
+	logSlowness: number;
 	speedSamples: number;
-	/** Run time over that of the median peer. */
+	/** Run time relative to the median peer, drawn towards 1 while samples are few. */
 	slowRatio: number;
-	isShutOut: boolean;
+	isEjected: boolean;
 	probeAt: number;
-	probeMs: number;
-	goodProbes: number;
+	probeIntervalMs: number;
+	successfulProbes: number;
 };
 
 export function createExecutorState(
@@ -74,20 +78,20 @@
 		slots,
 		isLeaving,
 		busy: 0,
-		limit: slots,
+		slotLimit: slots,
 		failureRate: 0,
-		slowness: 0,
+		logSlowness: 0,
 		speedSamples: 0,
 		slowRatio: 1,
-		isShutOut: false,
+		isEjected: false,
 		probeAt: 0,
-		probeMs: firstProbeMs,
-		goodProbes: 0,
+		probeIntervalMs: minProbeIntervalMs,
+		successfulProbes: 0,
 	};
 }
 
-/** Takes in how a task ended. `expectedMs` is the service's learned mean. */
-export function noteOutcome(
+/** Records how a task ended. `expectedMs` is the service's learned mean run time. */
+export function recordOutcome(
 	executor: ExecutorState,
 	outcome: SlotOutcome,
 	expectedMs: number,
@@ -96,33 +100,37 @@
 		return;
 	}
 
-	const isGood = outcome.result === 'done';
+	const hasSucceeded = outcome.result === 'done';
 	executor.failureRate +=
-		failureWeight * (Number(!isGood) - executor.failureRate);
-	if (isGood) {
-		noteSpeed(executor, Math.max(outcome.runMs, 0.01) / expectedMs);
+		failureWeight * (Number(!hasSucceeded) - executor.failureRate);
+	if (hasSucceeded) {
+		recordSpeed(executor, Math.max(outcome.runMs, 0.01) / expectedMs);
 	}
 
-	if (executor.isShutOut) {
-		executor.goodProbes = isGood ? executor.goodProbes + 1 : 0;
+	if (executor.isEjected) {
+		executor.successfulProbes = hasSucceeded
+			? executor.successfulProbes + 1
+			: 0;
 	}
 }
 
-function noteSpeed(executor: ExecutorState, ratio: number): void {
+function recordSpeed(executor: ExecutorState, ratio: number): void {
 	executor.speedSamples += 1;
-	const weight = Math.max(1 / executor.speedSamples, leastSpeedWeight);
-	executor.slowness += weight * (Math.log(ratio) - executor.slowness);
+	const weight = Math.max(1 / executor.speedSamples, minSpeedWeight);
+	executor.logSlowness += weight * (Math.log(ratio) - executor.logSlowness);
 }
 
 /**
 Sets how many slots of each executor may be lent.
 
-For one slow executor: its share of a job's tasks would end last and hold up every job, so it
-gets fewer slots, by the square of its slowness, and none but probes from about three times.
-For one that fails or refuses all it is given: it frees its slots first and would attract all
-work, so it is shut out and tried with one task at growing intervals (each failed trial costs a
-job). Judged against the median peer, and never more than half of them: when all fail alike the
-cause is elsewhere, and shutting out everything would turn a slow target into a dead one.
+- A slow executor would finish its part of each job last and delay every job. Its slots are divided by the
+  square of its slowness. When none would be left, from about three times the median run time for
+  executors with 8 slots, it is ejected.
+- An executor that fails or refuses all tasks has free slots sooner than the others and would attract all
+  work. It is ejected and probed with one task at growing intervals, as each failed probe costs a job.
+
+Executors are compared with the median peer, and at most half of them are ejected. If all fail alike, the
+cause is elsewhere, and ejecting all would make a slow target unavailable.
 */
 export function judgeExecutors(
 	executors: readonly ExecutorState[],
@@ -130,86 +138,97 @@
 ): void {
 	const peers = executors.filter((executor) => !executor.isLeaving);
 	const median = {
-		slowness: findMedian(
+		logSlowness: findMedian(
 			peers
-				.filter((peer) => peer.speedSamples >= leastSpeedSamples)
-				.map((peer) => peer.slowness),
+				.filter((peer) => peer.speedSamples >= minSpeedSamples)
+				.map((peer) => peer.logSlowness),
 		),
 		failureRate: findMedian(peers.map((peer) => peer.failureRate)),
 	};
-	let shutOut = peers.filter((peer) => peer.isShutOut).length;
+	let ejectedCount = peers.filter((peer) => peer.isEjected).length;
 	for (const executor of peers) {
-		const isOneTooMany = shutOut + 1 > peers.length * mostShutOut;
-		const wasShutOut = executor.isShutOut;
-		judgeExecutor(executor, median, {now, isOneTooMany});
-		shutOut += Number(executor.isShutOut) - Number(wasShutOut);
+		const isEjectionLimitReached =
+			ejectedCount + 1 > peers.length * maxEjectedShare;
+		const wasEjected = executor.isEjected;
+		judgeExecutor(executor, median, {
+			now,
+			isEjectionLimitReached,
+		});
+		ejectedCount += Number(executor.isEjected) - Number(wasEjected);
 	}
 }
 
-type Median = {slowness: number; failureRate: number};
+type Median = {logSlowness: number; failureRate: number};
 
 function judgeExecutor(
 	executor: ExecutorState,
 	median: Median,
-	{now, isOneTooMany}: {now: number; isOneTooMany: boolean},
+	{now, isEjectionLimitReached}: {now: number; isEjectionLimitReached: boolean},
 ): void {
-	const {slowness, speedSamples} = executor;
-	const trust = speedSamples / (speedSamples + doubtedSamples);
-	executor.slowRatio = Math.exp((slowness - median.slowness) * trust);
-	if (executor.isShutOut) {
-		const isTooSlow = Math.exp(slowness - median.slowness) >= reopenFactor;
-		if (executor.goodProbes < probesToOpen || isTooSlow) {
+	const {logSlowness, speedSamples} = executor;
+	const confidence = speedSamples / (speedSamples + halfTrustSamples);
+	executor.slowRatio = Math.exp(
+		(logSlowness - median.logSlowness) * confidence,
+	);
+	if (executor.isEjected) {
+		const isTooSlow =
+			Math.exp(logSlowness - median.logSlowness) >= keepEjectedRatio;
+		if (executor.successfulProbes < probesToRestore || isTooSlow) {
 			return;
 		}
 
-		openAgain(executor);
+		restoreExecutor(executor);
 	}
 
 	const slots = isSlow(executor)
 		? Math.floor(executor.slots / executor.slowRatio ** 2)
 		: executor.slots;
-	const isBad = isFailing(executor, median) || slots === 0;
-	if (isBad && !isOneTooMany) {
-		executor.isShutOut = true;
-		executor.goodProbes = 0;
-		executor.probeAt = now + executor.probeMs;
-		// Its speed is learned anew from the probes: old samples would outlive a recovery.
+	const isUnfit = isFailing(executor, median) || slots === 0;
+	if (isUnfit && !isEjectionLimitReached) {
+		executor.isEjected = true;
+		executor.successfulProbes = 0;
+		executor.probeAt = now + executor.probeIntervalMs;
+		// The speed is learned again from the probes: old samples would keep the executor ejected
+		// after it recovers.
 		executor.speedSamples = 0;
-		executor.slowness = 0;
-		executor.limit = 0;
+		executor.logSlowness = 0;
+		executor.slotLimit = 0;
 		return;
 	}
 
-	executor.limit = Math.max(1, slots);
+	executor.slotLimit = Math.max(1, slots);
 }
 
-function openAgain(executor: ExecutorState): void {
-	executor.isShutOut = false;
+function restoreExecutor(executor: ExecutorState): void {
+	executor.isEjected = false;
 	executor.failureRate = 0;
-	executor.probeMs = firstProbeMs;
+	executor.probeIntervalMs = minProbeIntervalMs;
 }
 
 function isFailing(executor: ExecutorState, median: Median): boolean {
 	return (
-		executor.failureRate > shutFailureRate &&
-		executor.failureRate > shutFailureFactor * median.failureRate
+		executor.failureRate > ejectFailureRate &&
+		executor.failureRate > ejectFailureFactor * median.failureRate
 	);
 }
 
 function isSlow(executor: ExecutorState): boolean {
 	const {slowRatio, speedSamples} = executor;
-	const samples = Math.min(speedSamples, rememberedSamples);
+	const samples = Math.min(speedSamples, maxEvidenceSamples);
 	return (
-		slowRatio >= slowFactor &&
-		samples >= leastSpeedSamples &&
-		Math.sqrt(samples) * Math.log(slowRatio) >= slowEvidence
+		slowRatio >= minSlowRatio &&
+		samples >= minSpeedSamples &&
+		Math.sqrt(samples) * Math.log(slowRatio) >= minSlowEvidence
 	);
 }
 
-/** Notes that a probe was sent: the next one waits twice as long. */
-export function noteProbe(executor: ExecutorState, now: number): void {
-	executor.probeMs = Math.min(executor.probeMs * 2, longestProbeMs);
-	executor.probeAt = now + executor.probeMs;
+/** Records that a probe was sent, and doubles the wait until the next one, up to the maximum. */
+export function recordProbe(executor: ExecutorState, now: number): void {
+	executor.probeIntervalMs = Math.min(
+		executor.probeIntervalMs * 2,
+		maxProbeIntervalMs,
+	);
+	executor.probeAt = now + executor.probeIntervalMs;
 }
 
 function findMedian(values: readonly number[]): number {
--- a/packages/decisions/src/job-table.ts
+++ b/packages/decisions/src/job-table.ts
@@ -1,30 +1,30 @@
 /**
-The jobs a keeper knows: those just come, those waiting for slots (listed by team and rank) and
-those that have all they asked for.
+The jobs that a keeper knows: new ones, those that wait for slots (queued by team and rank), and those that
+have all the slots they asked for.
 */
 import {countWanted, type JobState} from './job-state.js';
 import {type Demand} from './lending.js';
 import {ageingFactor} from './rank.js';
 import {TeamTable} from './team-table.js';
 
-/** Moves urgent jobs before all others in the order: longer than any job waits, milliseconds. */
+/** Subtracted from the sort key of urgent jobs: longer than any job waits, so that they precede all others. */
 const urgentLeadMs = 1e12;
 
-/** A grant is known to its owner within milliseconds; this many times a link's delay is plenty. */
-const grantLostMs = 1000;
+/** A grant that the owner doesn't report for this long is lost: grants normally arrive within milliseconds. */
+const lostGrantTimeoutMs = 1000;
 
-/** What an update needs to know of the keeper's state. */
+/** The parts of the keeper's state that ranking needs; `taskMs` is the service's estimated run time. */
 export type JobView = {now: number; taskMs: number; slots: number};
 
 export class JobTable {
 	readonly teams = new TeamTable();
 	waitingWorkMs = 0;
 	waitingTasks = 0;
-	/** Slots that jobs of here hold from other keepers. */
+	/** Slots that this keeper's jobs hold from other keepers. */
 	heldElsewhere = 0;
 	readonly #jobs = new Map<string, JobState>();
 	readonly #byOwner = new Map<string, Set<JobState>>();
-	#newcomers = new Set<JobState>();
+	#newJobs = new Set<JobState>();
 	#sequence = 0;
 
 	lookUp(owner: string, job: number): JobState | undefined {
@@ -35,84 +35,87 @@
 		return this.#jobs.size;
 	}
 
-	/** Enters a demand, or brings it up to date: the newest counts, as messages come in order. */
+	/** Adds a job or replaces its demand. Messages arrive in order, so the last demand is the newest. */
 	update(demand: Demand, view: JobView): JobState {
 		const {owner, job: number} = demand;
-		const job = this.lookUp(owner, number) ?? this.#enter(demand, view.now);
-		this.#unlist(job);
-		settleGranted(job, demand, view.now);
+		const job = this.lookUp(owner, number) ?? this.#add(demand, view.now);
+		this.#removeQueued(job);
+		reconcileGranted(job, demand, view.now);
 		job.isForeign = false;
 		this.heldElsewhere += countElsewhere(demand) - countElsewhere(job.demand);
 		job.demand = demand;
 		job.deadlineAt = view.now + demand.deadlineInMs;
 		this.rank(job, view);
 		if (job.isAdmitted) {
-			this.relist(job);
+			this.updateQueued(job);
 		}
 
 		return job;
 	}
 
-	/** Enters a job of another data centre: it holds slots here and is never queued. */
-	enterForeign(demand: Demand, view: JobView): JobState {
+	/** Adds a job of another data centre. It holds slots here and is never queued. */
+	addForeign(demand: Demand, view: JobView): JobState {
 		const present = this.lookUp(demand.owner, demand.job);
 		if (present) {
 			return present;
 		}
 
-		const job = this.#enter({...demand, asked: 0}, view.now);
+		const job = this.#add({...demand, asked: 0}, view.now);
 		job.isForeign = true;
 		job.isAdmitted = true;
-		this.#newcomers.delete(job);
+		this.#newJobs.delete(job);
 		this.rank(job, view);
 		return job;
 	}
 
-	/** Takes the jobs that came since the last time, in the order of their rank. */
-	takeNewcomers(): JobState[] {
-		const newcomers = [...this.#newcomers].toSorted(
+	/** Returns and clears the jobs that arrived since the last call, best rank first. */
+	takeNewJobs(): JobState[] {
+		const newJobs = [...this.#newJobs].toSorted(
 			(a, b) => a.order - b.order || a.sequence - b.sequence,
 		);
-		this.#newcomers = new Set();
-		return newcomers;
+		this.#newJobs = new Set();
+		return newJobs;
 	}
 
-	get newcomerCount(): number {
-		return this.#newcomers.size;
+	get newJobCount(): number {
+		return this.#newJobs.size;
 	}
 
 	admit(job: JobState): void {
 		job.isAdmitted = true;
-		this.relist(job);
+		this.updateQueued(job);
 	}
 
-	/** Lists the job if it wants slots, takes it from the list if not. */
-	relist(job: JobState): void {
+	/** Adds the job to its team's queue if it wants slots, and removes it otherwise. */
+	updateQueued(job: JobState): void {
 		const isWaiting = countWanted(job) > 0;
-		if (isWaiting === job.isListed) {
+		if (isWaiting === job.isQueued) {
 			return;
 		}
 
 		if (!isWaiting) {
-			this.#unlist(job);
+			this.#removeQueued(job);
 			return;
 		}
 
-		job.isListed = true;
+		job.isQueued = true;
 		job.team.waiting.insert(job);
-		this.#count(job, 1);
+		this.#addToTotals(job, 1);
 	}
 
-	/** Removes an ended job: a search in its team's sorted list, whatever else waits. */
+	/**
+	Removes an ended job. The cost is a search in its team's sorted queue, regardless of other teams'
+	queues.
+	*/
 	remove(job: JobState): void {
 		if (!this.#jobs.delete(formatJobKey(job.owner, job.job))) {
 			return;
 		}
 
-		this.#unlist(job);
-		this.#newcomers.delete(job);
+		this.#removeQueued(job);
+		this.#newJobs.delete(job);
 		this.heldElsewhere -= countElsewhere(job.demand);
-		job.team.jobs -= 1;
+		job.team.jobCount -= 1;
 		const owned = this.#byOwner.get(job.owner);
 		owned?.delete(job);
 		if (owned?.size === 0) {
@@ -130,78 +133,78 @@
 		}
 	}
 
-	/** Ranks all waiting jobs anew: what their order was worked out from has changed. */
-	rerank(viewOf: (demand: Demand) => JobView): void {
+	/** Ranks all waiting jobs again after the figures behind their order have changed. */
+	rerank(getView: (demand: Demand) => JobView): void {
 		for (const job of this.listWaiting()) {
-			this.#unlist(job);
-			this.rank(job, viewOf(job.demand));
-			this.relist(job);
+			this.#removeQueued(job);
+			this.rank(job, getView(job.demand));
+			this.updateQueued(job);
 		}
 	}
 
-	/** Works out the job's place in the order; it must not be listed. */
+	/** Computes the job's sort key. The job must not be in the queue meanwhile. */
 	rank(job: JobState, {taskMs, slots}: JobView): void {
 		job.workMs = job.demand.remaining * taskMs;
-		const overtakenMs = (ageingFactor * job.workMs) / Math.max(1, slots);
+		const overtakableMs = (ageingFactor * job.workMs) / Math.max(1, slots);
 		job.order = job.isUrgent
 			? job.deadlineAt - urgentLeadMs
-			: job.since + overtakenMs;
+			: job.waitingSince + overtakableMs;
 	}
 
-	/** Puts a waiting job before all that aren't urgent, the nearest deadline first. */
-	hasten(job: JobState): void {
-		this.#unlist(job);
+	/** Moves a waiting job before all jobs that aren't urgent. Urgent jobs are ordered by deadline. */
+	markUrgent(job: JobState): void {
+		this.#removeQueued(job);
 		job.isUrgent = true;
 		job.order = job.deadlineAt - urgentLeadMs;
-		this.relist(job);
+		this.updateQueued(job);
 	}
 
-	#enter(demand: Demand, now: number): JobState {
+	#add(demand: Demand, now: number): JobState {
 		this.#sequence += 1;
 		const job: JobState = {
 			owner: demand.owner,
 			job: demand.job,
 			sequence: this.#sequence,
 			order: 0,
-			team: this.teams.open(demand.team),
+			team: this.teams.getOrAdd(demand.team),
 			demand,
-			since: now - demand.waitedMs,
+			waitingSince: now - demand.waitedMs,
 			deadlineAt: now + demand.deadlineInMs,
 			isAdmitted: demand.isAdmitted ?? false,
 			isUrgent: false,
-			isListed: false,
+			isQueued: false,
 			workMs: 0,
 			isForeign: false,
 			granted: demand.granted ?? 0,
 			grantedAt: now,
-			shifting: 0,
-			shiftingUntil: 0,
-			held: new Map(),
+			requestedElsewhere: 0,
+			requestedElsewhereUntil: 0,
+			heldSlots: new Map(),
 		};
-		job.team.jobs += 1;
+		job.team.jobCount += 1;
 		this.heldElsewhere += countElsewhere(demand);
 		this.#jobs.set(formatJobKey(job.owner, job.job), job);
 		const owned = this.#byOwner.get(job.owner) ?? new Set();
 		owned.add(job);
 		this.#byOwner.set(job.owner, owned);
 		if (!job.isAdmitted) {
-			this.#newcomers.add(job);
+			this.#newJobs.add(job);
 		}
 
 		return job;
 	}
 
-	#unlist(job: JobState): void {
-		if (!job.isListed) {
+	#removeQueued(job: JobState): void {
+		if (!job.isQueued) {
 			return;
 		}
 
-		job.isListed = false;
+		job.isQueued = false;
 		job.team.waiting.remove(job);
-		this.#count(job, -1);
+		this.#addToTotals(job, -1);
 	}
 
-	#count(job: JobState, sign: 1 | -1): void {
+	#addToTotals(job: JobState, sign: 1 | -1): void {
 		job.team.waitingWorkMs += sign * job.workMs;
 		this.waitingWorkMs += sign * job.workMs;
 		this.waitingTasks += sign * job.demand.remaining;
@@ -209,19 +212,20 @@
 }
 
 /**
-Goes by the owner's count of granted slots where this keeper's can't be right. A grant can be
-lost: its link breaks just then, or another data centre's does. Counted here for ever, the job
-would wait for slots that never come, until its deadline. So a grant that the owner still doesn't
-know of after `grantLostMs` is taken for lost; one that comes later all the same is given back.
+Adopts the owner's count of granted slots where this keeper's count can't be right. A grant is lost if
+its connection, or another data centre's, breaks at that moment. If the keeper went on counting it,
+the job would wait until its deadline for slots that never come. So grants that the owner still
+doesn't report after the time-out count as lost; the owner gives back one that arrives later.
 */
-function settleGranted(job: JobState, {granted}: Demand, now: number): void {
+function reconcileGranted(job: JobState, {granted}: Demand, now: number): void {
 	if (granted === undefined) {
 		return;
 	}
 
-	const isLost = granted < job.granted && now - job.grantedAt > grantLostMs;
-	const isMissed = granted > job.granted && job.isForeign;
-	if (isLost || isMissed) {
+	const isLost =
+		granted < job.granted && now - job.grantedAt > lostGrantTimeoutMs;
+	const isUnderCounted = granted > job.granted && job.isForeign;
+	if (isLost || isUnderCounted) {
 		job.granted = granted;
 	}
 }
--- a/packages/decisions/src/slot-book.ts
+++ b/packages/decisions/src/lent-slot-table.ts
@@ -1,6 +1,6 @@
 /**
-The slots lent now: each under a number of its own, so that a late or repeated release, of a
-slot lent again since, changes nothing.
+The slots that are lent now. Each loan has a number of its own, so that a late or repeated release doesn't
+affect a later loan of the same slot.
 */
 import {type ExecutorState} from './executor-health.js';
 import {type JobState, type LentSlot} from './job-state.js';
@@ -16,18 +16,18 @@
 	executor: ExecutorState;
 };
 
-/** A grant has arrived by then, milliseconds, or its connection has been closed as silent. */
-const grantArrivesMs = 3000;
+/** After this time a grant has arrived, or its connection has been closed because it was silent. */
+const grantDeliveryTimeoutMs = 3000;
 
-export class SlotBook {
+export class LentSlotTable {
 	readonly #slots = new Map<number, LentSlot>();
 	readonly #byOwner = new Map<string, Set<LentSlot>>();
-	/** In order of time only by chance: few, and looked through when one is due. */
+	/** Not sorted by time: there are few, so all are checked when one may be due. */
 	readonly #quarantined = new Set<LentSlot>();
-	/** Slots whose job isn't known yet: a new keeper hears of a slot before its job. */
+	/** Slots whose job isn't known yet: a new keeper may learn of a slot before its job. */
 	readonly #orphans = new Set<LentSlot>();
-	/** Called back and not returned yet. */
-	#recalled = 0;
+	/** Number of slots that are recalled and not yet released. */
+	#recalledCount = 0;
 	#nextSlot: number;
 
 	constructor(firstSlot: number) {
@@ -38,8 +38,8 @@
 		return this.#slots.size;
 	}
 
-	get recalled(): number {
-		return this.#recalled;
+	get recalledCount(): number {
+		return this.#recalledCount;
 	}
 
 	lookUp(slot: number): LentSlot | undefined {
@@ -52,7 +52,7 @@
 		return this.restore(slot, request);
 	}
 
-	/** Enters a slot under a number it already has: one that an earlier keeper lent. */
+	/** Adds a slot under a given number, for example one that an earlier keeper lent. */
 	restore(slot: number, request: LendRequest): LentSlot {
 		const lent: LentSlot = {
 			...request,
@@ -65,7 +65,7 @@
 		owned.add(lent);
 		this.#byOwner.set(lent.owner, owned);
 		if (lent.job) {
-			lent.job.held.set(slot, lent);
+			lent.job.heldSlots.set(slot, lent);
 		} else {
 			this.#orphans.add(lent);
 		}
@@ -79,20 +79,20 @@
 		this.#slots.delete(lent.slot);
 		this.#quarantined.delete(lent);
 		this.#orphans.delete(lent);
-		this.#recalled -= Number(lent.isRecalled);
+		this.#recalledCount -= Number(lent.isRecalled);
 		const owned = this.#byOwner.get(lent.owner);
 		owned?.delete(lent);
 		if (owned?.size === 0) {
 			this.#byOwner.delete(lent.owner);
 		}
 
-		lent.job?.held.delete(lent.slot);
+		lent.job?.heldSlots.delete(lent.slot);
 		lent.executor.busy -= 1;
 		lent.team.inUse -= 1;
 	}
 
-	/** Joins restored slots to their job when its demand comes. */
-	adopt(job: JobState): void {
+	/** Assigns restored slots to their job when its demand arrives. */
+	setJob(job: JobState): void {
 		for (const lent of this.#orphans) {
 			if (lent.owner === job.owner && lent.jobNumber === job.job) {
 				this.#orphans.delete(lent);
@@ -101,16 +101,16 @@
 				lent.team = job.team;
 				lent.service = job.demand.service;
 				lent.team.inUse += 1;
-				job.held.set(lent.slot, lent);
+				job.heldSlots.set(lent.slot, lent);
 			}
 		}
 	}
 
-	/** Marks a slot as called back; its owner gives it back when its task ends. */
+	/** Marks a slot as recalled. Its owner releases it when the task on it ends. */
 	markRecalled(lent: LentSlot): void {
 		lent.isRecalled = true;
-		lent.job?.held.delete(lent.slot);
-		this.#recalled += 1;
+		lent.job?.heldSlots.delete(lent.slot);
+		this.#recalledCount += 1;
 	}
 
 	listOwned(owner: string): LentSlot[] {
@@ -133,9 +133,10 @@
 	}
 
 	/**
-	Compares with all that a borrower says it holds. One whose connection broke and that is back as
-	the same process holds what it names as before. What it doesn't name is free at once if it was
-	quarantined, or lent so long ago that the grant must have arrived: the release was lost.
+	Compares the lent slots with all those that a borrower reports as held. A borrower that reconnects as the
+	same process keeps the slots that it reports: their quarantine ends. A slot that it doesn't report is
+	released at once if it was quarantined, or if it was lent so long ago that the grant must have
+	arrived: then the release was lost.
 	*/
 	reconcile(owner: string, held: ReadonlySet<number>, now: number): void {
 		for (const lent of this.listOwned(owner)) {
@@ -143,13 +144,13 @@
 			if (held.has(lent.slot)) {
 				lent.quarantinedUntil = undefined;
 				this.#quarantined.delete(lent);
-			} else if (isQuarantined || now - lent.lentAt > grantArrivesMs) {
+			} else if (isQuarantined || now - lent.lentAt > grantDeliveryTimeoutMs) {
 				this.release(lent);
 			}
 		}
 	}
 
-	/** Frees the slots whose quarantine has ended. */
+	/** Releases the slots whose quarantine has ended. */
 	releaseDue(now: number): void {
 		for (const lent of this.#quarantined) {
 			if (lent.quarantinedUntil! <= now) {
@@ -158,7 +159,7 @@
 		}
 	}
 
-	/** When the next quarantine ends. */
+	/** Time at which the next quarantine ends; undefined if there is none. */
 	findNextDue(): number | undefined {
 		let due: number | undefined;
 		for (const {quarantinedUntil} of this.#quarantined) {
--- a/packages/decisions/src/load.test.ts
+++ b/packages/decisions/src/load.test.ts
@@ -1,6 +1,6 @@
 /**
-What callers get under load, by a virtual clock. All seeds are fixed. The replay itself fails if
-an executor ever gets more tasks at once than it has slots.
+Response times and refusals under load, simulated on a virtual clock with fixed seeds. The replay itself
+fails if an executor ever gets more tasks at once than it has slots.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -28,12 +28,12 @@
 	return jobs.filter((job) => job.state === state).length;
 }
 
-/** Work until the last arrival, of jobs that ended whole, over what the slots could do. */
+/** Share of the slots' capacity until the last arrival that went into jobs that completed. */
 function measureGoodput({jobs}: ReplayReport): number {
 	const lastAt = Math.max(...jobs.map(({plan}) => plan.at));
 	let workMs = 0;
 	for (const job of jobs) {
-		workMs += job.state === 'done' ? job.workInTime : 0;
+		workMs += job.state === 'done' ? job.workBeforeLastArrivalMs : 0;
 	}
 
 	return workMs / (slots * lastAt);
@@ -50,7 +50,7 @@
 function makeLoad(load: number, count: number, teams = ['cooks']) {
 	return makeJobs({
 		random: seedRandom(11),
-		count,
+		jobCount: count,
 		load,
 		slots,
 		teams,
@@ -58,10 +58,10 @@
 	});
 }
 
-test('at 80% load jobs take little longer than alone, and grants are used', () => {
+test('at 80% load, jobs take little longer than in an empty system and few grants stay unused', () => {
 	const jobs = makeJobs({
 		random: seedRandom(11),
-		count: 2500,
+		jobCount: 2500,
 		load: 0.8,
 		slots: 240,
 	});
@@ -73,7 +73,7 @@
 	assertAtMost(report.unusedGrants / report.starts, 0.005);
 });
 
-test('at three times the capacity slots do useful work, and few jobs let in fail', () => {
+test('at three times the capacity, slots do useful work and few admitted jobs miss their deadline', () => {
 	const report = new Replay({jobs: makeLoad(3, 3000), executors}).run();
 	assertAtLeast(measureGoodput(report), 0.95);
 	const admitted = countByState(report, 'done') + countByState(report, 'late');
@@ -83,10 +83,10 @@
 	assertAtMost(findPercentile(waits, 99), 50);
 });
 
-test('a burst far over the slots is served shortest first, and all of it', () => {
+test('a burst of far more work than slots completes, shortest jobs first', () => {
 	const random = seedRandom(3);
 	const jobs = Array.from({length: 200}, () =>
-		makeJob({random, count: 200, load: 1, slots}),
+		makeJob({random, jobCount: 200, load: 1, slots}),
 	);
 	const report = new Replay({jobs, executors}).run();
 	assert.equal(countByState(report, 'done'), 200);
@@ -96,12 +96,12 @@
 	assertAtMost(findPercentile(ended, 50), (totalMs / slots) * 0.4);
 });
 
-test('a team within its share is not held back by one that asks for ten times its own', () => {
-	// One customer's script goes wild before dawn. Without shares all others' jobs stand in its
-	// queue, and their callers see refusals though they asked for little.
+test('a team within its share is not delayed by a team that asks for ten times its own', () => {
+	// One customer's script asks for ten times its share. Without shares, the jobs of all other teams
+	// would wait behind it, and their callers would be refused although they asked for little.
 	const flood = makeJobs({
 		random: seedRandom(5),
-		count: 2500,
+		jobCount: 2500,
 		load: 2.5,
 		slots,
 		teams: ['flood'],
@@ -110,7 +110,7 @@
 	const lastAt = flood.at(-1)!.at;
 	const calm = makeJobs({
 		random: seedRandom(6),
-		count: 600,
+		jobCount: 600,
 		load: 0.6,
 		slots,
 		teams: ['a', 'b', 'c'],
@@ -130,13 +130,13 @@
 	assertAtLeast(measureGoodput(report), 0.95);
 });
 
-test('one slow executor hardly shows in the slowest jobs', () => {
-	// One process of the target has sick memory and takes ten times as long. Given its share of
-	// every job it would hold up every job.
+test('one slow executor raises the 99th percentile of response times by at most 30%', () => {
+	// One process of the target has faulty memory and takes ten times as long. With its full share of the
+	// tasks of each job it would delay every job.
 	const many = makeExecutors(30);
 	const jobs = makeJobs({
 		random: seedRandom(11),
-		count: 2500,
+		jobCount: 2500,
 		load: 0.8,
 		slots: 240,
 	});
@@ -152,8 +152,8 @@
 	assertAtMost(after! / before!, 1.3);
 });
 
-test('an executor that fails all it is given costs few jobs', () => {
-	// It fails fast, so its slots are always the free ones, and it would draw in all work.
+test('an executor that fails all its tasks makes few jobs fail', () => {
+	// The executor fails tasks fast, so its slots are nearly always free and it would attract all work.
 	const bad = executors.map((executor, i) => ({
 		...executor,
 		...(i === 0 && {run: () => ({result: 'failed' as const, runMs: 2})}),
@@ -166,7 +166,7 @@
 	);
 });
 
-test('when every executor fails half its tasks none is shut out', () => {
+test('when every executor fails half its tasks, none is ejected', () => {
 	const random = seedRandom(9);
 	const all = executors.map((executor) => ({
 		...executor,
@@ -177,7 +177,7 @@
 	}));
 	const jobs = makeJobs({
 		random,
-		count: 1000,
+		jobCount: 1000,
 		load: 0.5,
 		slots,
 		medianTasks: 1,
@@ -191,11 +191,11 @@
 	assertAtLeast(countByState(report, 'done'), 250);
 });
 
-test('short jobs pass a job of 1,700 tasks, and it ends too', () => {
+test('short jobs overtake a job of 1,700 tasks, and the long job still completes', () => {
 	const random = seedRandom(13);
 	const long = makeJob({
 		random,
-		count: 1,
+		jobCount: 1,
 		load: 1,
 		slots,
 		medianTasks: 1700,
@@ -204,7 +204,7 @@
 	});
 	const short = makeJobs({
 		random,
-		count: 500,
+		jobCount: 500,
 		load: 0.5,
 		slots,
 		medianTasks: 3,
@@ -220,7 +220,7 @@
 	['ten times too long', 1800],
 	['ten times too short', 18],
 ] as const) {
-	test(`declared run times ${name}: jobs are served once the truth is learned`, () => {
+	test(`declared run times ${name}: jobs are served in time once the real ones are learned`, () => {
 		const jobs = makeLoad(0.8, 1500).map((job) => ({...job, declaredMs}));
 		const report = new Replay({jobs, executors}).run();
 		assertAtLeast(countByState(report, 'done'), 1485);
@@ -228,7 +228,7 @@
 	});
 }
 
-test('cancellations in waves leave nothing behind', () => {
+test('waves of cancellations leave other jobs served and few grants unused', () => {
 	const jobs = makeLoad(1.2, 1500).map((job) => ({
 		...job,
 		...(job.at % 2000 < 500 && {cancelAt: Math.ceil(job.at / 500) * 500 + 100}),
@@ -245,11 +245,11 @@
 	assertAtMost(report.unusedGrants / report.starts, 0.02);
 });
 
-test('callers of one data centre get the free slots of the other two', () => {
+test('jobs of one data centre get the free slots of the other two', () => {
 	const far = makeExecutors(12, 3);
 	const jobs = makeJobs({
 		random: seedRandom(21),
-		count: 1500,
+		jobCount: 1500,
 		load: 0.6,
 		slots: 96,
 	});
--- a/packages/decisions/src/placement.ts
+++ b/packages/decisions/src/placement.ts
@@ -1,10 +1,10 @@
 /**
-Which executor gets the next task.
+Chooses the executor for the next task.
 */
 import {type ExecutorState} from './executor-health.js';
 
-/** Least share of its tasks that an executor is credited with ending well: no division by zero. */
-const leastReliability = 0.1;
+/** Minimum success rate used for an executor: prevents division by zero. */
+const minReliability = 0.1;
 
 /** Whether a slot of the executor may be lent now. */
 export function hasFreeSlot(executor: ExecutorState, now: number): boolean {
@@ -12,15 +12,15 @@
 		return false;
 	}
 
-	return executor.isShutOut
+	return executor.isEjected
 		? executor.busy === 0 && now >= executor.probeAt
-		: executor.busy < Math.min(executor.limit, executor.slots);
+		: executor.busy < Math.min(executor.slotLimit, executor.slots);
 }
 
 /**
-The executor for the next task: a probe that is due, else the fewest busy slots for its speed and
-reliability. For work that doesn't fill all executors: spreading it keeps each one's queue at
-none, and leans to those that end tasks soonest.
+Returns an ejected executor that is due for a probe, else the executor with the lowest load relative to
+its speed and reliability; undefined if no slot is free. When work doesn't fill all executors, this
+spreads it so that no task queues at an executor, and prefers those that end tasks soonest.
 */
 export function pickExecutor(
 	executors: readonly ExecutorState[],
@@ -42,11 +42,11 @@
 }
 
 function measureLoad(executor: ExecutorState): number {
-	if (executor.isShutOut) {
+	if (executor.isEjected) {
 		return 0;
 	}
 
-	const reliability = Math.max(leastReliability, 1 - executor.failureRate);
+	const reliability = Math.max(minReliability, 1 - executor.failureRate);
 	return (
 		((executor.busy + 1) * executor.slowRatio) / (executor.slots * reliability)
 	);
--- a/packages/decisions/src/recall.ts
+++ b/packages/decisions/src/recall.ts
@@ -1,65 +1,69 @@
 /**
-Which lent slots are asked back, as their tasks end, for better-ranked work.
+Chooses which lent slots are recalled: their owners release them as the tasks on them end.
 */
 import {countWanted, type JobState, type LentSlot} from './job-state.js';
 import {type Recall} from './lending.js';
 import {type TeamState} from './team-table.js';
 
 /**
-How much less work a waiting job must have than the holder for a recall. A recall costs a message and an
-idle moment; two jobs of like size would pass slots to and fro and both end later.
+If neither urgency nor team shares decide, a waiting job gets a holder's slot only if its work times this
+factor is less than the holder's. A recall costs a message and idle time; two jobs of similar size would
+pass slots back and forth and both end later.
 */
-export const recallFactor = 4;
+export const recallWorkFactor = 4;
 
-/** Most recalls in one decision: the rest follows at the next one, if it is still wanted. */
-const mostRecalls = 64;
+/**
+Maximum number of recalls for waiting jobs in one decision; the others follow in the next if still
+wanted.
+*/
+const maxRecalls = 64;
 
 type RecallView = {
 	teams: Iterable<TeamState>;
 	slots: Iterable<LentSlot>;
-	/** Slots per unit of weight. */
-	perWeight: number;
-	/** Recalled and not back yet. */
+	/** Slots per unit of team weight. */
+	slotsPerWeight: number;
+	/** Slots that are recalled and not yet released. */
 	outstanding: number;
-	/** Takes a slot out of its job's held ones. */
+	/** Marks a slot as recalled and removes it from its job's held slots. */
 	markRecalled: (lent: LentSlot) => void;
 };
 
 /**
-Chooses slots to call back.
+Chooses the slots to recall for waiting jobs.
 
-For long jobs beside short ones, and for one team's flood that came before another team's work:
-owners keep a slot for a job's next task, so a job of 1,700 tasks would hold every slot for
-seconds while short jobs wait. Never more are recalled than are waited for by better-ranked
-jobs, less those recalled already, or slots would come back with nobody to use them.
+Owners keep a slot for a job's next task. Without recalls, a job of 1,700 tasks would hold every slot for
+seconds while short jobs wait, and so would a team that floods the queue before another team's jobs
+arrive. At most as many slots are recalled as better-ranked jobs wait for, less those already recalled:
+otherwise slots would be returned that no job uses.
 */
 export function chooseRecalls(view: RecallView): LentSlot[] {
-	const waiting = listWaiting(view.teams);
+	const waiting = listBestWaiting(view.teams);
 	if (waiting.length === 0) {
 		return [];
 	}
 
 	const holders = listHolders(view.slots);
 	const recalled: LentSlot[] = [];
-	let uncovered = -view.outstanding;
+	let unmet = -view.outstanding;
 	for (const job of waiting) {
-		uncovered += countRoom(job, countWanted(job));
-		while (uncovered > 0 && recalled.length < mostRecalls) {
-			const lent = takeFrom(holders, job, view.perWeight);
+		unmet += countWithinQuota(job, countWanted(job));
+		while (unmet > 0 && recalled.length < maxRecalls) {
+			const lent = findSlotToRecall(holders, job, view.slotsPerWeight);
 			if (!lent) {
 				return recalled;
 			}
 
 			view.markRecalled(lent);
 			recalled.push(lent);
-			uncovered -= 1;
+			unmet -= 1;
 		}
 	}
 
 	return recalled;
 }
 
-/** Puts recalls together by owner. */
+/** Groups recalled slots by owner. */
 export function groupRecalls(slots: readonly LentSlot[]): Recall[] {
 	const byOwner = new Map<string, number[]>();
 	for (const {owner, slot} of slots) {
@@ -71,21 +75,21 @@
 	return [...byOwner].map(([owner, slots]) => ({owner, slots}));
 }
 
-function countRoom({team}: JobState, wanted: number): number {
+function countWithinQuota({team}: JobState, wanted: number): number {
 	return Math.min(wanted, Math.max(0, team.quota - team.inUse));
 }
 
-/** The best waiting jobs, of which recalls are made: a few, as recalls are few. */
-function listWaiting(teams: Iterable<TeamState>): JobState[] {
+/** The best waiting jobs, best first: no more than there can be recalls. */
+function listBestWaiting(teams: Iterable<TeamState>): JobState[] {
 	const heads: JobState[] = [];
 	for (const {waiting} of teams) {
-		heads.push(...waiting.items.slice(0, mostRecalls));
+		heads.push(...waiting.items.slice(0, maxRecalls));
 	}
 
-	return heads.toSorted((a, b) => a.order - b.order).slice(0, mostRecalls);
+	return heads.toSorted((a, b) => a.order - b.order).slice(0, maxRecalls);
 }
 
-/** Jobs with slots that may be called back, worst rank last. */
+/** Jobs with slots that may be recalled, worst rank last. */
 function listHolders(slots: Iterable<LentSlot>): JobState[] {
 	const holders = new Set<JobState>();
 	for (const {job, isRecalled, quarantinedUntil} of slots) {
@@ -97,26 +101,26 @@
 	return [...holders].toSorted((a, b) => a.order - b.order);
 }
 
-function takeFrom(
+function findSlotToRecall(
 	holders: JobState[],
 	waiting: JobState,
-	perWeight: number,
+	slotsPerWeight: number,
 ): LentSlot | undefined {
 	const holder = holders.findLast(
 		(candidate) =>
-			candidate.held.size > 0 &&
-			isWorthRecalling(waiting, candidate, perWeight),
+			candidate.heldSlots.size > 0 &&
+			isWorthRecalling(waiting, candidate, slotsPerWeight),
 	);
-	return holder?.held.values().next().value;
+	return holder?.heldSlots.values().next().value;
 }
 
 function isWorthRecalling(
 	waiting: JobState,
 	holder: JobState,
-	perWeight: number,
+	slotsPerWeight: number,
 ): boolean {
-	const isWaitingBelow = isBelowShare(waiting.team, perWeight, 0);
-	const isHolderBelow = isBelowShare(holder.team, perWeight, 1);
+	const isWaitingBelow = isBelowShare(waiting.team, slotsPerWeight, 0);
+	const isHolderBelow = isBelowShare(holder.team, slotsPerWeight, 1);
 	if (waiting.team !== holder.team && isWaitingBelow !== isHolderBelow) {
 		return isWaitingBelow;
 	}
@@ -127,21 +131,21 @@
 
 	return (
 		waiting.order < holder.order &&
-		waiting.workMs * recallFactor < holder.workMs
+		waiting.workMs * recallWorkFactor < holder.workMs
 	);
 }
 
 function isBelowShare(
 	team: TeamState,
-	perWeight: number,
+	slotsPerWeight: number,
 	margin: number,
 ): boolean {
-	return team.inUse < perWeight * team.weight + margin;
+	return team.inUse < slotsPerWeight * team.weight + margin;
 }
 
 /**
-Slots on executors that are leaving or shut out. A leaving one must come to rest; on one shut
-out, an owner that kept its slot would go on sending tasks to be failed or held up.
+Chooses the slots of leaving or ejected executors. A leaving executor has to become idle. An owner that
+kept a slot of an ejected executor would go on sending it tasks, which would fail or be delayed.
 */
 export function chooseUnwanted(
 	slots: Iterable<LentSlot>,
@@ -150,13 +154,13 @@
 	const unwanted: LentSlot[] = [];
 	for (const lent of slots) {
 		const {executor, isRecalled, quarantinedUntil, lentAt} = lent;
-		const isUnwanted = executor.isLeaving || executor.isShutOut;
-		// One lent just now as a probe has yet to get its one task.
-		const isFresh = lentAt >= now && !executor.isLeaving;
+		const isUnwanted = executor.isLeaving || executor.isEjected;
+		// A slot of an ejected executor that was lent in this decision is a probe that hasn't got its task yet.
+		const isNewProbe = lentAt >= now && !executor.isLeaving;
 		if (
 			isUnwanted &&
 			!isRecalled &&
-			!isFresh &&
+			!isNewProbe &&
 			quarantinedUntil === undefined
 		) {
 			unwanted.push(lent);
--- a/packages/decisions/src/team-table.ts
+++ b/packages/decisions/src/team-table.ts
@@ -1,5 +1,6 @@
 /**
-Teams at one keeper: slots in use, waiting jobs, and which team's best job gets the next slot.
+The teams at one keeper: their slots in use, their waiting jobs, and the choice of the job that gets the
+next slot.
 */
 import {type TeamShare} from './lending.js';
 import {RankedList} from './ranked-list.js';
@@ -9,19 +10,22 @@
 	readonly name: string;
 	weight: number;
 	quota: number;
-	/** Jobs known, waiting or not. */
-	jobs: number;
-	/** Slots lent to the team's jobs. */
+	/** Number of known jobs, waiting or not. */
+	jobCount: number;
+	/** Number of slots lent to the team's jobs. */
 	inUse: number;
-	/** Of late: what the team gets when it asks for more than its share. */
-	usualSlots: number;
+	/** Moving average of `inUse`: what the team gets when it asks for more than its share. */
+	averageInUse: number;
 	/** Admitted jobs that want more slots. */
 	readonly waiting: RankedList<JobState>;
-	/** Work of the waiting jobs, milliseconds of one slot. */
+	/** Work of the waiting jobs, slot-milliseconds. */
 	waitingWorkMs: number;
 };
 
-/** Weight of the newest sample of slots in use: at one each 50 ms half a second's worth counts. */
+/**
+Weight of the newest sample of slots in use. With a sample every 50 ms, the average covers about half a
+second.
+*/
 const sampleWeight = 0.1;
 
 const defaultShare: TeamShare = {weight: 1};
@@ -29,7 +33,7 @@
 export class TeamTable {
 	readonly #teams = new Map<string, TeamState>();
 	#shares: ReadonlyMap<string, TeamShare> = new Map();
-	#weights = 0;
+	#totalWeight = 0;
 
 	setShares(shares: ReadonlyMap<string, TeamShare>): void {
 		this.#shares = shares;
@@ -38,8 +42,8 @@
 		}
 	}
 
-	/** The team's state; made on first use. */
-	open(name: string): TeamState {
+	/** Returns the team's state; creates it on first use. */
+	getOrAdd(name: string): TeamState {
 		const present = this.#teams.get(name);
 		if (present) {
 			return present;
@@ -48,9 +52,9 @@
 		const team: TeamState = {
 			name,
 			...this.#readShare(name),
-			jobs: 0,
+			jobCount: 0,
 			inUse: 0,
-			usualSlots: 0,
+			averageInUse: 0,
 			waiting: new RankedList(),
 			waitingWorkMs: 0,
 		};
@@ -58,10 +62,13 @@
 		return team;
 	}
 
-	/** Forgets teams without work, so that memory follows the load and not the number of teams. */
+	/**
+	Removes teams without jobs or slots, so that memory depends on the load, not on the number of teams
+	ever seen.
+	*/
 	dropIdle(): void {
 		for (const team of this.#teams.values()) {
-			if (team.jobs === 0 && team.inUse === 0) {
+			if (team.jobCount === 0 && team.inUse === 0) {
 				this.#teams.delete(team.name);
 			}
 		}
@@ -75,51 +82,55 @@
 		}
 	}
 
-	/** Weights of the teams with work, as of the last `refresh`. */
-	get weights(): number {
-		return this.#weights;
+	/** Sum of the weights of the teams that have slots or waiting jobs, as of the last update in `decide`. */
+	get totalWeight(): number {
+		return this.#totalWeight;
 	}
 
-	/** Sums up the weights, once a decision: with 800 teams the sum costs more than a grant. */
-	refresh(): void {
-		let weights = 0;
+	/**
+	Sums up the weights. Called once per decision, not per grant: with 800 teams the sum costs more than a
+	grant.
+	*/
+	sumWeights(): void {
+		let totalWeight = 0;
 		for (const team of this.#teams.values()) {
-			weights += isActive(team) ? team.weight : 0;
+			totalWeight += isActive(team) ? team.weight : 0;
 		}
 
-		this.#weights = weights;
+		this.#totalWeight = totalWeight;
 	}
 
 	/**
-	Slots that a team can count on: its weight over the weights of the teams with work, or what it
-	has had of late, with what is free, if that is more. What other teams leave unused isn't
-	counted by what waits: those that ask for less than their share go on asking.
+	Estimates the slots that a team can count on, at least 1 and at most its quota: its weighted share of the
+	capacity among the teams with work, or its recent use plus the free slots if that is more. The share that
+	other teams leave unused is not derived from their waiting jobs, because a team that asks for less than
+	its share will go on asking.
 	*/
 	estimateShare(team: TeamState, capacity: number, free: number): number {
-		const newWeight = isActive(team) ? 0 : team.weight;
-		const weights = this.#weights + newWeight;
-		const fair = (capacity * team.weight) / weights;
+		const addedWeight = isActive(team) ? 0 : team.weight;
+		const totalWeight = this.#totalWeight + addedWeight;
+		const fairSlots = (capacity * team.weight) / totalWeight;
 		return Math.max(
 			1,
-			Math.min(team.quota, Math.max(fair, team.usualSlots + free)),
+			Math.min(team.quota, Math.max(fairSlots, team.averageInUse + free)),
 		);
 	}
 
-	/** Takes a sample of the slots in use; at even times. */
+	/** Samples the slots in use of each team. Must be called at regular intervals. */
 	sampleUse(): void {
 		for (const team of this.#teams.values()) {
-			team.usualSlots += sampleWeight * (team.inUse - team.usualSlots);
+			team.averageInUse += sampleWeight * (team.inUse - team.averageInUse);
 		}
 	}
 
 	/**
-	The waiting job that gets the next slot. For skewed demand, one team asking for ten times its
-	share: teams below their weighted share of the slots go first, so a flood of one team delays
-	another's work by a task's run time at most. A quota is a hard cap. Among the teams of a
-	class, and for what no team's share claims, the best rank goes first.
+	Picks the waiting job that gets the next slot; undefined if none may have one. Teams below their weighted
+	share of the slots go first: if one team asks for ten times its share, it delays another team's work by
+	a task's run time at most. A team at its quota gets no slot. Among teams below their share, and among
+	the others for slots that remain, the job with the best rank goes first.
 	*/
-	pickNext(capacity: number): JobState | undefined {
-		const perWeight = capacity / this.#weights;
+	pickNextJob(capacity: number): JobState | undefined {
+		const slotsPerWeight = capacity / this.#totalWeight;
 		let best: JobState | undefined;
 		let isBestBelowShare = false;
 		for (const team of this.#teams.values()) {
@@ -128,7 +139,7 @@
 				continue;
 			}
 
-			const isBelowShare = team.inUse < perWeight * team.weight;
+			const isBelowShare = team.inUse < slotsPerWeight * team.weight;
 			const isBetter =
 				best === undefined ||
 				(isBelowShare === isBestBelowShare
@@ -143,7 +154,7 @@
 		return best;
 	}
 
-	/** The order of the best waiting job of all teams. */
+	/** Sort key of the best waiting job of all teams; undefined if none waits. */
 	findBestOrder(): number | undefined {
 		let best: number | undefined;
 		for (const {waiting} of this.#teams.values()) {
