--- a/packages/bench/src/slopes-lender.ts
+++ b/packages/bench/src/slopes-lender.ts
@@ -77,7 +77,7 @@
 	#submit(): void {
 		this.#job += 1;
 		this.#left.set(this.#job, this.#size.tasks);
-		this.#lender.demand(makeDemand(this.#job, this.#size), this.#now);
+		this.#lender.updateDemand(makeDemand(this.#job, this.#size), this.#now);
 	}
 
 	#decide(): void {
--- a/packages/decisions/src/decide.ts
+++ b/packages/decisions/src/decide.ts
@@ -94,7 +94,7 @@
 
 	state.sweptAt = now;
 	state.jobs.teams.dropIdle();
-	state.jobs.teams.sampleUse();
+	state.jobs.teams.measureUse();
 	markUrgentJobs(state, now);
 	const unreachable = [...state.jobs.listWaiting()].filter((job) =>
 		isDeadlineUnreachable(state, job, now),
--- a/packages/decisions/src/job-table.ts
+++ b/packages/decisions/src/job-table.ts
@@ -134,7 +134,7 @@
 	}
 
 	/** Ranks all waiting jobs again after the figures behind their order have changed. */
-	rerank(getView: (demand: Demand) => JobView): void {
+	updateRanks(getView: (demand: Demand) => JobView): void {
 		for (const job of this.listWaiting()) {
 			this.#removeQueued(job);
 			this.rank(job, getView(job.demand));
--- a/packages/decisions/src/keeper-state.ts
+++ b/packages/decisions/src/keeper-state.ts
@@ -74,7 +74,7 @@
 	Ranks the waiting jobs again when run times or the capacity have changed much. Declared run times can be
 	wrong by ten times; jobs ranked and counted by them would stay ahead of or behind all later ones.
 	*/
-	rerankIfChanged(now: number): void {
+	updateRanksIfChanged(now: number): void {
 		const {capacity} = this.pool;
 		let isChanged = isChangedByFactor(capacity, this.#rankedSlots);
 		for (const [service, {meanMs}] of this.estimates) {
@@ -93,7 +93,7 @@
 			this.#rankedMeanMs.set(service, meanMs);
 		}
 
-		this.jobs.rerank((demand) => this.viewJob(demand, now));
+		this.jobs.updateRanks((demand) => this.viewJob(demand, now));
 	}
 
 	/** Removes another data centre's job once its last slot is released. */
--- a/packages/decisions/src/lender.ts
+++ b/packages/decisions/src/lender.ts
@@ -72,7 +72,7 @@
 	}
 
 	/** Adds a job or replaces its demand. Idempotent: the same demand again changes nothing. */
-	demand(demand: Demand, now: number): void {
+	updateDemand(demand: Demand, now: number): void {
 		const state = this.#state;
 		const job = state.jobs.update(demand, state.viewJob(demand, now));
 		state.slots.setJob(job);
@@ -91,14 +91,14 @@
 	release(slot: number, outcome: SlotOutcome, now: number): void {
 		const lent = this.#state.slots.lookUp(slot);
 		if (lent) {
-			this.report(slot, outcome, now);
+			this.recordOutcome(slot, outcome, now);
 			this.#state.slots.release(lent);
 			this.#state.dropForeignIfReleased(lent.job);
 		}
 	}
 
 	/** Records how a task ended on a slot that its owner keeps for the next task. */
-	report(slot: number, outcome: SlotOutcome, now: number): void {
+	recordOutcome(slot: number, outcome: SlotOutcome, now: number): void {
 		const lent = this.#state.slots.lookUp(slot);
 		if (!lent) {
 			return;
@@ -107,7 +107,7 @@
 		const estimate = this.#state.estimates.get(lent.service);
 		recordOutcome(lent.executor, outcome, estimate?.meanMs ?? outcome.runMs);
 		if (outcome.result === 'done') {
-			estimate?.note(outcome.runMs, now);
+			estimate?.recordRunMs(outcome.runMs, now);
 		} else if (outcome.result !== 'unused') {
 			this.#state.hasFailures = true;
 		}
@@ -126,13 +126,16 @@
 			this.withdraw(owner, job.job);
 		}
 
-		const quarantined = {slots: 0, forMs: 0};
+		const quarantined = {slots: 0, maxQuarantineMs: 0};
 		for (const lent of slots.listOwned(owner)) {
 			const runMs = estimates.get(lent.service)?.p99Ms ?? 0;
 			const forMs = isGone ? runMs : leaseMs + runMs;
 			slots.quarantine(lent, now + forMs);
 			quarantined.slots += 1;
-			quarantined.forMs = Math.max(quarantined.forMs, forMs);
+			quarantined.maxQuarantineMs = Math.max(
+				quarantined.maxQuarantineMs,
+				forMs,
+			);
 		}
 
 		return quarantined;
@@ -142,7 +145,7 @@
 	Shortens the quarantine of a dropped owner's slots by the lease, once its process is known to have ended
 	and so has started no task since `dropOwner`. Must be called only once for an owner: each call shortens it.
 	*/
-	noteGone(owner: string): void {
+	recordOwnerExit(owner: string): void {
 		const {slots, leaseMs} = this.#state;
 		for (const lent of slots.listOwned(owner)) {
 			slots.releaseSooner(lent, leaseMs);
@@ -188,7 +191,7 @@
 	here. The job is never queued here. Local jobs go first: otherwise a busy data centre would move its
 	queue to its neighbours.
 	*/
-	shiftIn(demand: Demand, count: number, now: number): Grant[] {
+	grantToForeign(demand: Demand, count: number, now: number): Grant[] {
 		const state = this.#state;
 		this.#applyDueChanges(now);
 		const isWanted = state.jobs.waitingTasks + state.jobs.newJobCount > 0;
@@ -208,7 +211,7 @@
 	}
 
 	/** The job's last demand; undefined if the job is unknown here. */
-	readDemand(owner: string, job: number): Demand | undefined {
+	findDemand(owner: string, job: number): Demand | undefined {
 		return this.#state.jobs.lookUp(owner, job)?.demand;
 	}
 
@@ -216,7 +219,12 @@
 	Records a request for slots at another keeper: until the answer or its time-out, these aren't also
 	granted here.
 	*/
-	startShift(owner: string, job: number, count: number, now: number): void {
+	recordRemoteRequest(
+		owner: string,
+		job: number,
+		count: number,
+		now: number,
+	): void {
 		const state = this.#state.jobs.lookUp(owner, job);
 		if (state) {
 			state.requestedElsewhere += count;
@@ -227,7 +235,7 @@
 	}
 
 	/** Applies the other keeper's answer: it granted `granted` of `asked` slots. */
-	settleShift(
+	applyRemoteAnswer(
 		owner: string,
 		job: number,
 		{asked, granted, now}: {asked: number; granted: number; now: number},
@@ -249,7 +257,7 @@
 			return {grants: [], refusals: [], recalls: [], shortages: []};
 		}
 
-		state.rerankIfChanged(now);
+		state.updateRanksIfChanged(now);
 		state.jobs.teams.sumWeights();
 		const refusals = [
 			...judgeNewJobs(state, now),
@@ -262,7 +270,7 @@
 	}
 
 	/** When to decide again if no message arrives before; undefined if there is nothing to wait for. */
-	nextDecisionAt(now: number): number | undefined {
+	findNextDecisionAt(now: number): number | undefined {
 		const {jobs, slots, pool} = this.#state;
 		const isWaiting = jobs.waitingTasks > 0;
 		const times = [
--- a/packages/decisions/src/lending.ts
+++ b/packages/decisions/src/lending.ts
@@ -71,7 +71,7 @@
 export type Shortage = {owner: string; job: number; count: number};
 
 /** Number of slots of a lost owner, and the longest time that one of them stays unlent, milliseconds. */
-export type QuarantinedSlots = {slots: number; forMs: number};
+export type QuarantinedSlots = {slots: number; maxQuarantineMs: number};
 
 export type LendingDecisions = {
 	grants: Grant[];
--- a/packages/decisions/src/replay.fixture.ts
+++ b/packages/decisions/src/replay.fixture.ts
@@ -193,7 +193,7 @@
 		const keeper = job.plan.dataCentre;
 		const demand = this.#describe(job);
 		this.#send(keeper, keeper, (lender) => {
-			lender.demand(demand, this.now);
+			lender.updateDemand(demand, this.now);
 		});
 	}
 
@@ -238,7 +238,7 @@
 			this.#shift(keeper, this.#jobs[shortage.job]!, shortage.count);
 		}
 
-		this.#scheduleNextDecision(keeper, lender.nextDecisionAt(this.now));
+		this.#scheduleNextDecision(keeper, lender.findNextDecisionAt(this.now));
 	}
 
 	#scheduleNextDecision(keeper: number, next: number | undefined): void {
@@ -278,12 +278,17 @@
 
 		this.#free[to]! -= asked;
 		const demand = this.#describe(job);
-		this.#keepers[from]!.startShift(demand.owner, job.number, asked, this.now);
+		this.#keepers[from]!.recordRemoteRequest(
+			demand.owner,
+			job.number,
+			asked,
+			this.now,
+		);
 		this.#send(from, to, (lender) => {
-			const grants = lender.shiftIn(demand, asked, this.now);
+			const grants = lender.grantToForeign(demand, asked, this.now);
 			this.#deliver(to, grants);
 			this.#send(to, from, (home) => {
-				home.settleShift(demand.owner, job.number, {
+				home.applyRemoteAnswer(demand.owner, job.number, {
 					asked,
 					granted: grants.length,
 					now: this.now,
@@ -369,7 +374,7 @@
 			this.#giveBack(job, slot, outcome);
 		} else {
 			this.#send(job.plan.dataCentre, slot.keeper, (lender) => {
-				lender.report(slot.slot, outcome, this.now);
+				lender.recordOutcome(slot.slot, outcome, this.now);
 			});
 			this.#start(job, slot);
 		}
--- a/packages/decisions/src/run-estimate.ts
+++ b/packages/decisions/src/run-estimate.ts
@@ -34,7 +34,7 @@
 	/** Time of the last sample, on the caller's clock; undefined before the first. */
 	readonly lastSampleAt: number | undefined;
 	/** Records the run time of one ended task. */
-	note: (runMs: number, now: number) => void;
+	recordRunMs: (runMs: number, now: number) => void;
 };
 
 /**
@@ -65,7 +65,7 @@
 		get lastSampleAt() {
 			return lastSampleAt;
 		},
-		note(runMs, now) {
+		recordRunMs(runMs, now) {
 			const run = Math.max(runMs, minRunMs);
 			samples += 1;
 			lastSampleAt = now;
--- a/packages/decisions/src/team-table.ts
+++ b/packages/decisions/src/team-table.ts
@@ -117,7 +117,7 @@
 	}
 
 	/** Samples the slots in use of each team. Must be called at regular intervals. */
-	sampleUse(): void {
+	measureUse(): void {
 		for (const team of this.#teams.values()) {
 			team.averageInUse += sampleWeight * (team.inUse - team.averageInUse);
 		}
--- a/packages/host/src/run-estimates.ts
+++ b/packages/host/src/run-estimates.ts
@@ -16,6 +16,6 @@
 	learn(service: string, runMs: number, declaredMs: number): void {
 		const estimate = this.#estimates.get(service) ?? estimateRunMs(declaredMs);
 		this.#estimates.set(service, estimate);
-		estimate.note(runMs, readNow());
+		estimate.recordRunMs(runMs, readNow());
 	}
 }
--- a/packages/slots/src/keeper.ts
+++ b/packages/slots/src/keeper.ts
@@ -77,7 +77,7 @@
 	}
 
 	receiveDemand(ownerId: string, message: MessageOf<'demand'>): void {
-		this.#lender.demand(toDemand(ownerId, message), this.#ports.now());
+		this.#lender.updateDemand(toDemand(ownerId, message), this.#ports.now());
 		this.#schedule();
 	}
 
@@ -105,7 +105,7 @@
 		}
 
 		for (const {slot, result, runMs} of message.reports) {
-			this.#lender.report(slot, {result, runMs}, this.#ports.now());
+			this.#lender.recordOutcome(slot, {result, runMs}, this.#ports.now());
 		}
 
 		runAfterNextPoll(() => {
@@ -117,7 +117,7 @@
 	receiveShift(senderId: string, message: MessageOf<'shift'>): void {
 		const now = this.#ports.now();
 		const demand = toDemand(message.owner, message.demand);
-		const grants = this.#lender.shiftIn(demand, message.count, now);
+		const grants = this.#lender.grantToForeign(demand, message.count, now);
 		this.#sendGrants(message.owner, grants);
 		const {free} = this.#lender.readState(now);
 		// The requesting keeper continues from this figure. Without this line, a return to the figure sent
@@ -139,7 +139,7 @@
 
 	receiveShifted(dataCentre: string, message: MessageOf<'shifted'>): void {
 		this.#setRemoteFree(dataCentre, message.free);
-		this.#lender.settleShift(message.owner, message.job, {
+		this.#lender.applyRemoteAnswer(message.owner, message.job, {
 			asked: message.count,
 			granted: message.granted,
 			now: this.#ports.now(),
@@ -191,7 +191,7 @@
 		}
 
 		this.#lostOwners.delete(hostKey);
-		this.#lender.noteGone(lostOwnerId);
+		this.#lender.recordOwnerExit(lostOwnerId);
 		this.#writeLog('a lost owner is gone: its host runs another process', {
 			owner: lostOwnerId,
 			successor: ownerId,
@@ -218,7 +218,7 @@
 	#quarantine(ownerId: string, hostKey: string): void {
 		const currentOwner = this.#currentOwners.get(hostKey);
 		const isGone = currentOwner !== undefined && currentOwner !== ownerId;
-		const {slots, forMs} = this.#lender.dropOwner(
+		const {slots, maxQuarantineMs: forMs} = this.#lender.dropOwner(
 			ownerId,
 			this.#ports.now(),
 			isGone,
@@ -370,7 +370,7 @@
 	or can't be reached, isn't asked again until its keeper reports free slots.
 	*/
 	#sendShift(owner: string, job: number, count: number, now: number): void {
-		const demand = this.#lender.readDemand(owner, job);
+		const demand = this.#lender.findDemand(owner, job);
 		const best = this.#findMostFree();
 		if (!demand || !best) {
 			return;
@@ -391,7 +391,7 @@
 			});
 		if (isSent) {
 			remote.free -= asked;
-			this.#lender.startShift(owner, job, asked, now);
+			this.#lender.recordRemoteRequest(owner, job, asked, now);
 		} else {
 			remote.free = 0;
 		}
@@ -485,7 +485,7 @@
 
 	#setTimer(now: number): void {
 		const next = Math.min(
-			this.#lender.nextDecisionAt(now) ?? Infinity,
+			this.#lender.findNextDecisionAt(now) ?? Infinity,
 			now + leaseTermMs / 4,
 			this.#stateDueAt,
 		);
