--- a/packages/executors/src/connect-error.ts
+++ b/packages/executors/src/connect-error.ts
@@ -1,21 +1,21 @@
 /**
-Marks failures of the connect step. undici reports a reset, a silent peer and a refused
-connection alike as errors of the request; only the connector itself knows that no connection
-was made. A task is placed again only on that evidence, else it might start twice.
+Records which errors occurred while connecting. undici reports a connection reset, a peer that
+does not answer and a refused connection all as request errors; only the connector knows that no
+connection was made. A task is retried only on that evidence; otherwise it might run twice.
 */
 import {buildConnector, type buildConnector as Connector} from 'undici';
 
-/** How long a connection to an executor may take. */
+/** Time-out for opening a connection to an executor. */
 export const connectTimeoutMs = 1000;
 
 const marked = new WeakSet<Error>();
 
-/** True when no byte of the request can have been written. */
+/** True if the error occurred while connecting, so that no byte of the request was written. */
 export function isConnectError(error: unknown): boolean {
 	return error instanceof Error && marked.has(error);
 }
 
-/** A connector that marks its own failures; `source` is the local IP to connect from. */
+/** Creates a connector whose errors `isConnectError` recognises; `source` is the local IP to connect from. */
 export function createConnector(source?: string): Connector.connector {
 	const connect = buildConnector({
 		timeout: connectTimeoutMs,
@@ -23,7 +23,7 @@
 		keepAlive: true,
 	});
 	return (options, callback) => {
-		// The client hands over a `localAddress` of null, which would take the place of the connector's.
+		// undici passes a `localAddress` of null, which would override the one given to buildConnector.
 		connect({...options, localAddress: source}, (...result) => {
 			if (result[0]) {
 				marked.add(result[0]);
--- a/packages/executors/src/executor-pool.test.ts
+++ b/packages/executors/src/executor-pool.test.ts
@@ -6,7 +6,7 @@
 import {ExecutorPool} from './executor-pool.js';
 import {type TaskOutcome, type TaskRequest} from './outcome.js';
 
-/** An executor that counts the tasks that reach it, and a pool of connections to it. */
+/** Starts an executor that records the ids of the tasks it receives, and a connection pool to it. */
 async function openPool(context: TestContext, share: number) {
 	const taskIds: unknown[] = [];
 	const server = createServer((request, response) => {
@@ -47,8 +47,9 @@
 	['kept', 1],
 	['closed after each request', 0],
 ] as const) {
-	// Guards against a host that wakes from a freeze and sends, on a connection that is made only now, a task to an executor that has been told to leave.
-	test(`a request that waited for a connection (${kind}) is not written once its slot can't be used`, async (context) => {
+	// A host resumes after a pause and opens a connection only then. Meanwhile the executor may have been
+	// asked to leave, so the task that waited for the connection must not be sent to it.
+	test(`a request that waited for a connection (${kind}) is not written after its slot has become unusable`, async (context) => {
 		const {taskIds, sendTask} = await openPool(context, share);
 		let isUsable = true;
 		const withheld = sendTask({isUsable: () => isUsable});
--- a/packages/executors/src/executor-pool.ts
+++ b/packages/executors/src/executor-pool.ts
@@ -1,5 +1,5 @@
 /**
-Connections of this host to one executor: HTTP/1.1, one request a connection at a time.
+This host's HTTP/1.1 connections to one executor, each with at most one request at a time.
 */
 import {Buffer} from 'node:buffer';
 import {performance} from 'node:perf_hooks';
@@ -9,33 +9,33 @@
 import {type TaskOutcome, type TaskRequest} from './outcome.js';
 
 /**
-An idle connection is not used again after this long. What goes wrong: something on the way
-forgets idle connections, and a request written to such a one is lost, its task "unknown".
-A connection used within the last second or so is still remembered.
+Idle connections are closed after this time. Network equipment between host and executor may
+drop the state of idle connections; a request written to such a connection is lost, and its task ends as
+`unknown`. Connections used within about the last second are not affected.
 */
 export const idleLimitMs = 1500;
 
-/** Largest answer of one task, bytes; a larger one is cut off and counts as unknown. */
+/** Maximum size of a response body; the request for a larger one is aborted and ends as `unknown`. */
 export const maxAnswerBytes = 4 * 1024 * 1024;
 
-/** Task limits are rounded up to this, so that timers share a list. */
+/** Task time-outs are rounded up to a multiple of this: Node.js keeps timers of equal duration in one list. */
 const timerGrainMs = 50;
 
 export type ExecutorPoolOptions = {
 	/** `ip:port`. */
 	address: string;
-	/** Connections that may stay open while idle. */
+	/** Maximum number of connections kept open while idle. */
 	share: number;
-	/** Requests the executor runs at the same time. */
+	/** Number of requests that the executor runs concurrently. */
 	slots: number;
 	/** Local IP of outgoing connections. */
 	source?: string;
 };
 
 export class ExecutorPool {
-	/** Kept open between requests. */
+	/** Connections that stay open between requests; undefined if `share` is 0. */
 	readonly #kept: Pool | undefined;
-	/** Closed after each request: those beyond this host's share. */
+	/** Connections beyond this host's share, closed after each request. */
 	readonly #extra: Pool;
 	#running = 0;
 
@@ -45,12 +45,12 @@
 		this.#extra = createPool(options, options.slots);
 	}
 
-	/** Requests under way. */
+	/** Number of requests in progress. */
 	get running(): number {
 		return this.#running;
 	}
 
-	/** Sends one task; `onEnd` is called exactly once. */
+	/** Sends a task to the executor; `onEnd` is called exactly once. */
 	sendTask(request: TaskRequest, onEnd: (outcome: TaskOutcome) => void): void {
 		this.#running += 1;
 		const exchange = new Exchange(request, (outcome) => {
@@ -65,7 +65,7 @@
 				method: 'POST',
 				headers: listHeaders(request),
 				body: request.payload,
-				// Never sent again by the library, whatever happens to the connection.
+				// Prevents undici from retrying the request when the connection fails.
 				idempotent: false,
 				reset: !isKept,
 			},
@@ -73,12 +73,12 @@
 		);
 	}
 
-	/** Lets requests under way end, then closes the connections. */
+	/** Waits for requests in progress, then closes the connections. */
 	async close(): Promise<void> {
 		await Promise.all([this.#kept?.close(), this.#extra.close()]);
 	}
 
-	/** Cuts everything off. */
+	/** Aborts requests in progress and closes all connections. */
 	async destroy(): Promise<void> {
 		await Promise.all([this.#kept?.destroy(), this.#extra.destroy()]);
 	}
@@ -112,7 +112,7 @@
 	return list;
 }
 
-/** One request and its answer. */
+/** One request and its response. */
 class Exchange implements Dispatcher.DispatchHandler {
 	readonly #sentAt = performance.now();
 	readonly #timer: NodeJS.Timeout;
@@ -131,7 +131,7 @@
 		const limit =
 			Math.ceil(Math.max(1, request.limitMs) / timerGrainMs) * timerGrainMs;
 		this.#timer = setTimeout(() => {
-			this.#giveUp('no whole answer in time');
+			this.#giveUp('no complete response within the time limit');
 		}, limit);
 	}
 
@@ -141,7 +141,7 @@
 		}
 
 		if (this.#ended) {
-			controller.abort(new Error('given up before it was sent'));
+			controller.abort(new Error('request ended before it was sent'));
 			return;
 		}
 
@@ -167,7 +167,7 @@
 	): void {
 		this.#size += chunk.length;
 		if (this.#size > maxAnswerBytes) {
-			this.#giveUp(`an answer of over ${maxAnswerBytes} bytes`);
+			this.#giveUp(`response exceeds ${maxAnswerBytes} bytes`);
 			return;
 		}
 
@@ -212,7 +212,7 @@
 
 	#giveUp(detail: string): void {
 		const runMs = this.#measure();
-		// Not yet on a connection: no byte was written, and undici drops the aborted request unsent.
+		// Without a controller the request has no connection yet: nothing was written, and onRequestStart aborts it before undici sends it.
 		this.#end(
 			this.#controller
 				? {result: 'unknown', detail, runMs}
@@ -237,7 +237,7 @@
 	}
 }
 
-/** An answer that says it is JSON and is not was damaged on the way or by the executor: it ran, and failed. */
+/** A response that is declared as JSON but can't be parsed was damaged in transit or by the executor: the task ran and failed. */
 function readValue(text: string, isJson: boolean, runMs: number): TaskOutcome {
 	if (!isJson) {
 		return {result: 'done', value: text, runMs};
@@ -249,7 +249,7 @@
 		return {
 			result: 'failed',
 			status: 200,
-			detail: 'the answer is not the JSON it says it is',
+			detail: 'response has a JSON content type but is not valid JSON',
 			runMs,
 		};
 	}
--- a/packages/executors/src/executor-pools.test.ts
+++ b/packages/executors/src/executor-pools.test.ts
@@ -9,12 +9,12 @@
 	[9, 60, 60, 0],
 	[100, 60, 8, 0],
 ] as const) {
-	test(`${hosts} hosts keep ${share} of ${connections} connections for ${slots} slots`, () => {
+	test(`${hosts} host(s) keep ${share} idle connections each, given ${connections} connections and ${slots} slots`, () => {
 		assert.equal(computeShare({connections, slots}, hosts), share);
 	});
 }
 
-test('one host with all slots in use and the others idle stay within the limit', () => {
+test('connections stay within the limit when one host uses all slots and the others are idle', () => {
 	for (let hosts = 1; hosts < 70; hosts++) {
 		const share = computeShare({connections: 60, slots: 8}, hosts);
 		assert.ok((hosts - 1) * share + 8 <= 60, `${hosts} hosts, ${share} each`);
--- a/packages/executors/src/executor-pools.ts
+++ b/packages/executors/src/executor-pools.ts
@@ -1,6 +1,7 @@
 /**
-The pools of all executors that this host may send to, made when first needed and remade when
-an executor's address or this host's share of its connections changes.
+Connection pools of all executors that this host sends tasks to. A pool is created on first use
+of an executor's address, and replaced when the executor's slots or this host's share of its
+connections change.
 */
 import {type Executor} from '@gentianshift/resources';
 import {ExecutorPool} from './executor-pool.js';
@@ -8,16 +9,17 @@
 
 export type ExecutorPoolsOptions = {
 	source?: string;
-	/** Entry hosts that share each executor's connections now. */
+	/** Current number of entry hosts, which share each executor's connections. */
 	countHosts: () => number;
 };
 
 /**
-Connections that this host may keep open to an executor while idle. The limit is the executor's,
-about 60 for all hosts together. At worst one host has all of its slots in use while each other
-one keeps its share open: (hosts - 1) * share + slots is at most the limit. A host that kept more
-would starve the others. With very many hosts it is 0: every request then takes a connection of
-its own and closes it, and the lent slots bound how many there are.
+Number of idle connections that this host may keep open to an executor. An executor accepts a
+limited number of connections, about 60 from all hosts together. In the worst case one host uses
+all of the executor's slots while every other host keeps its share open, so
+(hosts - 1) * share + slots must not exceed the limit. A host that kept more connections open
+could leave none for the others. With very many hosts the share is 0: every request then opens
+and closes a connection of its own, and the number of lent slots bounds the connections.
 */
 export function computeShare(
 	{connections, slots}: Pick<Executor, 'connections' | 'slots'>,
@@ -48,14 +50,14 @@
 		this.#findPool(executor).sendTask(request, onEnd);
 	}
 
-	/** Lets what is under way end. */
+	/** Waits for requests in progress, then closes all connections. */
 	async close(): Promise<void> {
 		await Promise.all(
 			[...this.#pools.values()].map(async (pool) => pool.close()),
 		);
 	}
 
-	/** Cuts off what is still under way. */
+	/** Aborts requests in progress and closes all connections. */
 	async destroy(): Promise<void> {
 		await Promise.all(
 			[...this.#pools.values()].map(async (pool) => pool.destroy()),
@@ -72,7 +74,7 @@
 			return known;
 		}
 
-		// Requests under way on the old pool end there.
+		// close() lets requests in progress on the old pool end.
 		void known?.close();
 		const pool = new ExecutorPool({
 			address: executor.address,
--- a/packages/executors/src/outcome.ts
+++ b/packages/executors/src/outcome.ts
@@ -1,16 +1,16 @@
 /**
-How a request to an executor ended, and above all whether the task may have run.
+Outcomes of requests to executors. They tell whether the task may have run.
 */
 
 /**
-- `done`: answered 2xx, whole.
-- `failed`: answered with another status: it ran and failed.
-- `refused`: the executor's explicit "not run" (503 with `Gentianshift-Not-Run: true`).
+- `done`: a complete 2xx response arrived.
+- `failed`: a response with another status, or with malformed JSON, arrived: the task ran and failed.
+- `refused`: the executor answered that it did not run the task (503 with `Gentianshift-Not-Run: true`).
 - `unreachable`: no connection was made, so no byte of the request was written.
-- `withheld`: the slot could not be used any more when the request was about to be written; no byte was.
-- `unknown`: bytes may have been written and no whole answer came; it may have run.
+- `withheld`: the slot had become unusable by the time the request was to be written; nothing was written.
+- `unknown`: bytes may have been written and no complete response arrived: the task may have run.
 
-Only `refused`, `unreachable` and `withheld` may be placed again.
+Only tasks that ended as `refused`, `unreachable` or `withheld` may be sent again.
 */
 export type TaskOutcome =
 	| {result: 'done'; value: unknown; runMs: number}
@@ -26,11 +26,11 @@
 	path: string;
 	/** JSON text. */
 	payload: string;
-	/** Milliseconds after which the task counts as lost and its connection is destroyed. */
+	/** Time-out of the request, milliseconds. When it passes, the connection is destroyed and the task counts as lost. */
 	limitMs: number;
-	/** Milliseconds until the answer is of no use to the caller any more; told to the executor. */
+	/** Milliseconds until the caller can no longer use the answer; sent to the executor in a header. */
 	deadlineMs: number;
 	traceparent?: string;
-	/** Asked right before the request is written: it may have waited for a connection since it was sent. */
+	/** Called right before the request is written, since the request may have waited for a connection. */
 	isUsable: () => boolean;
 };
--- a/packages/jobs/src/admission.ts
+++ b/packages/jobs/src/admission.ts
@@ -1,30 +1,30 @@
 /**
-The checks on a submission that need no keeper: whether this host may take the job in.
+Checks of a submission that this host makes alone, without a message to a slot keeper.
 
-For floods and for mistakes: a job that can never run, or that this host could not keep in memory,
-is refused at once and costs no message. All these refusals say "none": the record is new, and
-nothing of it was sent.
+They protect against overload and caller errors: a job that can never run, or that would exceed
+this host's limits, is refused at once. All these refusals say that nothing ran (`ran: 'none'`),
+because the job's record is new and none of its tasks has been sent.
 */
 import {type Problem, type ServiceSpec} from '@gentianshift/resources';
 import {type Generations} from './generations.js';
 import {type JobRecord} from './job-record.js';
 import {createProblem, type ProblemCode} from './problems.js';
 
-/** Limits of this host, against floods that it could not keep in memory. */
+/** Limits of this host, which bound its memory use under overload. */
 export type OwnerLimits = {
 	/** Jobs not yet ended. */
 	jobs: number;
-	/** Tasks waiting for slots, all services together. */
+	/** Tasks waiting for slots, over all services. */
 	queueTasks: number;
-	/** Ended jobs kept for those who ask again. */
+	/** Ended jobs whose answers are kept for repeated requests. */
 	records: number;
 };
 
-/** What the host knows at the moment of the submission. */
+/** State of the host at the time of the submission. */
 export type AdmissionView = {
 	service: ServiceSpec | undefined;
 	hasTeam: boolean;
-	/** Whether the service's target has anything that could ever run a task. */
+	/** Whether the service's target has an executor that could run its tasks. */
 	canServe: boolean;
 	isStopping: boolean;
 	limits: OwnerLimits;
@@ -32,13 +32,13 @@
 	queuedTasks: number;
 };
 
-/** Another host takes the job: soon enough to be worth a wait, milliseconds. */
-const elsewhereMs = 200;
+/** Retry delay when this host is stopping; short, as another host can take the job at once. */
+const stoppingRetryMs = 200;
 
-/** A full host has room again after some of its jobs have ended, milliseconds. */
-const fullMs = 1000;
+/** Retry delay when this host is full; it accepts jobs again after some of its jobs have ended. */
+const fullRetryMs = 1000;
 
-/** Why the job isn't taken in; undefined when it is. */
+/** Returns why the job is refused, or undefined if it is accepted. */
 export function judgeSubmission(
 	record: JobRecord,
 	view: AdmissionView,
@@ -56,27 +56,32 @@
 	}
 
 	if (record.taskCount > service.maxTasks) {
-		const detail = `${record.taskCount} tasks; the service takes ${service.maxTasks}`;
+		const detail = `the job has ${record.taskCount} tasks; the service accepts at most ${service.maxTasks}`;
 		return refuse('too-many-tasks', detail);
 	}
 
 	if (!view.canServe) {
-		const detail = `target "${service.target}" has no executor that takes work`;
+		const detail = `target "${service.target}" has no executor that accepts tasks`;
 		return refuse('impossible', detail);
 	}
 
 	if (view.isStopping) {
-		const detail = 'this host is stopping; another one takes the job';
-		return refuse('stopping', detail, elsewhereMs);
+		const detail = 'this host is stopping; submit the job to another host';
+		return refuse('stopping', detail, stoppingRetryMs);
 	}
 
 	return isFull(record, service, view)
-		? refuse('overloaded', 'this host keeps all the work it may', fullMs)
+		? refuse(
+				'overloaded',
+				'this host has reached its limit of jobs or queued tasks',
+				fullRetryMs,
+			)
 		: undefined;
 }
 
 /**
-An id of an expired generation may have run, its record dropped since: "unknown", never "none".
+Returns why an id of this generation can't be started, or undefined if it can. A job of an expired
+generation may have run, as its record may have been dropped: the problem says `ran: 'unknown'`.
 */
 export function judgeGeneration(
 	id: string,
@@ -90,13 +95,13 @@
 		? createProblem(
 				'id-expired',
 				'unknown',
-				'an id is good for two generations; take a new one',
+				'the id has expired: ids are valid for two generations; use a new one',
 				{id},
 			)
 		: createProblem(
 				'malformed-id',
 				'unknown',
-				'this host has not issued such an id',
+				'this host has not issued this id yet',
 				{id},
 			);
 }
--- a/packages/jobs/src/forwards.ts
+++ b/packages/jobs/src/forwards.ts
@@ -1,9 +1,9 @@
 /**
-Requests handed to other hosts, waiting for their answers.
+Requests forwarded to the host that owns the job, and still waiting for its answer.
 
-What goes wrong: the owner dies, freezes or is cut off while a caller waits. Noticed when the
-link to it goes down (by close, or by the heartbeat's silence). All that waits on that link is
-answered then, at once, with "unknown": the owner may have started the job.
+The owner may crash, hang or become unreachable while a caller waits. Its link then goes down,
+because it was closed or because heartbeats stopped. All requests that wait on that link are
+answered at once with `ran: 'unknown'`, since the owner may have started the job.
 */
 import {err, ok} from 'neverthrow';
 import {type Link, type MessageOf} from '@gentianshift/protocol';
@@ -22,7 +22,7 @@
 	readonly #pending = new Map<number, Pending>();
 	#last = 0;
 
-	/** Sends to the owner; resolves with its answer or when the link goes down. */
+	/** Forwards a request to the owner; resolves with its answer, or with a problem when the link goes down. */
 	async sendForward(link: Link, forward: Forward): Promise<JobReply> {
 		this.#last += 1;
 		const request = this.#last;
@@ -47,7 +47,7 @@
 		}
 	}
 
-	/** Answers all that waited on this link. */
+	/** Answers all requests that wait on this link with `owner-unreachable`. */
 	dropLink(key: string): void {
 		for (const [request, pending] of this.#pending) {
 			if (pending.linkKey === key) {
@@ -58,7 +58,7 @@
 	}
 }
 
-/** The caller may ask again later; only the owner knows what ran. */
+/** The problem for a caller whose job's owner can't be reached. Only the owner knows what ran, so the caller may query again later. */
 export function createUnreachable(id: string) {
 	return createProblem(
 		'owner-unreachable',
--- a/packages/jobs/src/generations.ts
+++ b/packages/jobs/src/generations.ts
@@ -1,13 +1,13 @@
 /**
-Generations of ids: the owner raises its generation every few minutes by its own monotonic
-clock and starts only ids of the current and the previous one. Records of older generations
-can be dropped, because nothing of them can start any more: memory stays bounded.
+Generations of job ids. A host increments its generation every few minutes by its own monotonic
+clock, and starts only jobs whose ids are of the current or the previous generation. Records of
+older generations can be dropped, since their ids can't start again; this bounds memory use.
 */
 import {type Issuer} from '@gentianshift/resources';
 
 export type Generations = {
 	readIssuer: () => Issuer;
-	/** Whether a new job under this generation may start: "current", or why not. */
+	/** Whether a new job under this generation may start (`startable`), or why not. */
 	checkGeneration: (generation: number) => 'startable' | 'expired' | 'future';
 };
 
--- a/packages/jobs/src/job-record.ts
+++ b/packages/jobs/src/job-record.ts
@@ -1,5 +1,5 @@
 /**
-What the owner keeps of one job, and its transitions. No input or output here.
+The state of one job at its owner, and its transitions. Performs no I/O.
 */
 import {createHash} from 'node:crypto';
 import {err, ok} from 'neverthrow';
@@ -13,7 +13,7 @@
 } from '@gentianshift/resources';
 import {createProblem} from './problems.js';
 
-/** What is known of each task. */
+/** States of a task, as stored in `JobRecord.states`. */
 export const taskStates = {
 	queued: 0,
 	started: 1,
@@ -25,7 +25,7 @@
 export type JobStart = {
 	id: string;
 	attempt: number;
-	/** The owner's own number of this job. */
+	/** Number of the job, unique within its owner's process. */
 	number: number;
 	submission: Submission;
 	/** Monotonic milliseconds. */
@@ -42,9 +42,9 @@
 	readonly deadlineAt: number;
 	state: JobState = 'queued';
 	done = 0;
-	/** Tasks whose request is under way. */
+	/** Tasks whose request to an executor is in progress. */
 	inFlight = 0;
-	/** Tasks that were sent at least once and not answered "not run". */
+	/** Tasks that were sent to an executor, without those that certainly did not run. */
 	startedTasks = 0;
 	problem: Problem | undefined;
 	readonly taskCount: number;
@@ -87,7 +87,7 @@
 		return this.taskCount - this.done;
 	}
 
-	/** Whether anything of the job ran, as the owner knows it now. */
+	/** Whether any task of the job ran, as far as the owner knows. */
 	get ran(): Ran {
 		if (this.startedTasks === 0) {
 			return 'none';
@@ -98,7 +98,7 @@
 			: 'unknown';
 	}
 
-	/** The next task to start, marked as started; undefined when none waits. */
+	/** Removes the next task from the queue and marks it as started; undefined if the queue is empty. */
 	takeTask(): {index: number; payload: string} | undefined {
 		const index = this.#queue.pop();
 		if (index === undefined) {
@@ -112,7 +112,7 @@
 		return {index, payload: this.#payloads[index]!};
 	}
 
-	/** A task certainly did not run: it waits again. */
+	/** Returns a task to the queue; only for tasks that certainly did not run. */
 	requeueTask(index: number): void {
 		this.inFlight -= 1;
 		this.startedTasks -= 1;
@@ -122,7 +122,7 @@
 		}
 	}
 
-	/** Stores a result; completes the job with its last one. */
+	/** Stores the result of a task; the last result completes the job. */
 	completeTask(index: number, value: unknown): void {
 		this.inFlight -= 1;
 		this.states[index] = taskStates.done;
@@ -138,13 +138,13 @@
 		}
 	}
 
-	/** A task failed, or may have run without a whole answer. */
+	/** Marks a task as failed, or as unknown: it may have run, but no complete response arrived. */
 	markTask(index: number, state: 'failed' | 'unknown'): void {
 		this.inFlight -= 1;
 		this.states[index] = taskStates[state];
 	}
 
-	/** Ends the job without an answer; nothing more of it starts. */
+	/** Ends the job with a problem; no further task of it starts. */
 	fail(state: 'failed' | 'cancelled' | 'refused', problem: Problem): void {
 		if (this.isFinal) {
 			return;
@@ -169,7 +169,7 @@
 				createProblem(
 					'answer-dropped',
 					'some',
-					'the job completed; its answer is no longer kept',
+					'the job completed, but its results are no longer stored',
 					{id: this.id},
 				),
 			);
@@ -178,12 +178,12 @@
 		return this.problem ? err(this.problem) : ok(this.#readAnswer());
 	}
 
-	/** Calls back at the job's end. */
+	/** Calls the listener when the job ends; never, if it has already ended. */
 	onEnd(listener: () => void): void {
 		this.#waiters.add(listener);
 	}
 
-	/** Lets go of a whole answer; those who ask later are told so. */
+	/** Discards the results of a completed job; later replies are the problem `answer-dropped`. */
 	dropAnswer(): void {
 		if (this.state === 'complete') {
 			this.#isDropped = true;
@@ -191,7 +191,7 @@
 		}
 	}
 
-	/** Resolves at the job's end, or after `waitMs`, with the state then. */
+	/** Resolves when the job ends, or after `waitMs`, with the job's state at that time. */
 	async waitReply(waitMs: number): Promise<JobReply> {
 		if (!this.isFinal && waitMs > 0) {
 			await this.#wait(waitMs);
@@ -235,7 +235,7 @@
 	}
 }
 
-/** Tells a resubmission of the same job from another job under the same id. */
+/** Hash of a submission, to distinguish a resubmission from another job under the same id. */
 export function hashBody(
 	submission: Omit<Submission, 'tasks'>,
 	payloads: readonly string[],
--- a/packages/jobs/src/job-table.ts
+++ b/packages/jobs/src/job-table.ts
@@ -1,5 +1,5 @@
 /**
-Records of this incarnation's jobs, by id and by number, dropped a generation at a time.
+Job records of this process, by id and by number. They are dropped by generation of their ids.
 */
 import {type JobRecord} from './job-record.js';
 
@@ -7,13 +7,13 @@
 	readonly #byId = new Map<string, JobRecord>();
 	readonly #byNumber = new Map<number, JobRecord>();
 	readonly #byGeneration = new Map<number, string[]>();
-	/** In the order of their end. */
+	/** Ended jobs whose answers are kept, in the order in which they ended. */
 	readonly #ended = new Set<JobRecord>();
 	#lastNumber = 0;
 
 	readonly #maxEnded: number;
 
-	/** `maxEnded`: whole answers kept for those who ask again. */
+	/** `maxEnded`: number of ended jobs whose answers are kept for repeated requests. */
 	constructor(maxEnded: number) {
 		this.#maxEnded = maxEnded;
 	}
@@ -23,7 +23,7 @@
 		return this.#byNumber.size;
 	}
 
-	/** Counted anew: there are as many as there are active jobs. */
+	/** Summed over all active jobs on each read, so its cost grows with their number. */
 	get queuedTasks(): number {
 		let sum = 0;
 		for (const record of this.#byNumber.values()) {
@@ -59,8 +59,8 @@
 	}
 
 	/**
-	The job ended. Its record stays until its generation can start nothing more; its answer is
-	dropped sooner when there are too many, and whoever asks then is told so.
+	Moves a job to the ended ones. Its record stays until its generation has expired. When more than
+	`maxEnded` jobs have ended, the oldest answer is dropped, and requests for it get `answer-dropped`.
 	*/
 	retire(record: JobRecord): void {
 		if (!this.#byNumber.delete(record.number)) {
@@ -75,7 +75,7 @@
 		}
 	}
 
-	/** Drops ended records of generations under which nothing can start any more. */
+	/** Drops the records of ended jobs whose generation has expired. */
 	dropExpired(isExpired: (generation: number) => boolean): void {
 		for (const [generation, ids] of this.#byGeneration) {
 			if (isExpired(generation)) {
--- a/packages/jobs/src/name-register.ts
+++ b/packages/jobs/src/name-register.ts
@@ -1,11 +1,12 @@
 /**
-Names chosen by callers (UUIDv7) instead of ids that name their owner. The host that receives
-one claims it once in the platform's service; the claim names the incarnation that may run it.
-
-What goes wrong: the service is down, slow, or loses the reply after the claim took effect; or
-this host is paused between the claim and the start, longer than the claim lives. Then nothing
-starts: the caller is told at once when to come back, and "unknown", for the name may have been
-claimed and run before.
+Names: job ids chosen by callers (UUIDv7), which do not contain their owner, unlike the ids that
+hosts issue. The host that receives a name claims it in the platform's service. A name can be
+claimed once; the claim holds the incarnation (process) that may run the job.
+
+The service may be down or slow, or its reply may be lost after the claim took effect. This host
+may also be paused between claim and start for longer than the claim's lease. In these cases the
+job is not started: the caller at once gets a retry delay and `ran: 'unknown'`, since the name
+may have been claimed, and its job run, before.
 */
 import {err, ok, type Result} from 'neverthrow';
 import {type Issuer, type NamedId, type Problem} from '@gentianshift/resources';
@@ -14,26 +15,26 @@
 import {createProblem} from './problems.js';
 
 /**
-How far a name's time stamp may be from this host's clock. Twice this is less than a generation,
-so a name's record outlives every submission of the name that would be accepted.
+Maximum difference between a name's time stamp and this host's clock. Twice this is less than the
+length of a generation, so a name's record is kept for as long as the name would be accepted.
 */
 export const nameWindowMs = 2 * 60 * 1000;
 
-/** A claim answered later than this starts nothing: far less than the platform lease of a claim. */
+/** A job is not started if its claim took longer than this, which is far below the claim's lease. */
 export const claimLimitMs = 10_000;
 
-/** When to come back while the platform's service is down. */
+/** Default retry delay for callers while the platform's service is unavailable. */
 const platformRetryMs = 2000;
 
-/** What the platform's service said. */
+/** Result of a claim in the platform's service. */
 export type ClaimState =
 	| {state: 'claimed'}
 	| {state: 'held'; holder: Issuer}
-	/** Whether it was claimed can't be known, or this host claims no more names now. */
+	/** The claim may or may not have taken effect, or this host makes no claims at present. */
 	| {state: 'unavailable'; retryAfterMs?: number};
 
 export type NamePort = {
-	/** Creates the claim unless there is one. */
+	/** Creates the claim unless the name is already claimed. */
 	claimName: (uuid: string, holder: Issuer) => Promise<ClaimState>;
 	readHolder: (uuid: string) => Promise<Issuer | 'none' | 'unavailable'>;
 };
@@ -43,25 +44,25 @@
 	generations: Generations;
 	/** Monotonic milliseconds. */
 	now: () => number;
-	/** Unix milliseconds that never step: read once at start, then carried on by the monotonic clock. */
+	/** Unix milliseconds without clock steps: the wall clock at start plus the monotonic time since. */
 	wallNow: () => number;
 };
 
-/** Names remembered whose claim was not answered; older ones can no longer be claimed. */
+/** Maximum number of unsettled names. If the claim of a dropped name did take effect, its job can no longer start. */
 const maxUnsettled = 10_000;
 
 export class NameRegister {
 	readonly #options: NameRegisterOptions;
-	/** Names whose claim may have landed unanswered, with the attempt that was told "unknown". */
+	/** Names whose claim may have taken effect without an answer in time, with the attempt that was answered `ran: 'unknown'`. */
 	readonly #unsettled = new Map<string, number>();
-	/** Claims under way, so that copies arriving together make one claim. */
+	/** Claims in progress, so that concurrent submissions of a name share one claim. */
 	readonly #pending = new Map<string, Promise<Result<Issuer, Problem>>>();
 
 	constructor(options: NameRegisterOptions) {
 		this.#options = options;
 	}
 
-	/** The incarnation that may run the name, claiming it for this one if nobody has. */
+	/** Returns the incarnation that may run the job; claims the name for this process if it is unclaimed. */
 	async claimName(
 		id: NamedId,
 		{attempt, known}: {attempt: number; known: JobRecord | undefined},
@@ -97,7 +98,7 @@
 					createProblem(
 						'not-found',
 						'unknown',
-						'nobody holds this name (any more)',
+						'no host holds this name, or its claim has expired',
 						{id: id.uuid},
 					),
 				)
@@ -142,8 +143,8 @@
 	}
 
 	/**
-	The claim is this incarnation's own. If it is one whose reply was lost, nothing was started
-	under it; else its record is gone, and it may have run.
+	Decides on a name that this process has already claimed. If that claim is unsettled, no job was
+	started under it, so it may start now; otherwise its record has been dropped and it may have run.
 	*/
 	#settleOwnClaim(id: NamedId, self: Issuer): Result<Issuer, Problem> {
 		return this.#unsettled.delete(id.uuid)
@@ -152,7 +153,7 @@
 					createProblem(
 						'id-expired',
 						'unknown',
-						'the name was claimed here before',
+						'this host claimed the name before and no longer has its record',
 						{id: id.uuid},
 					),
 				);
--- a/packages/jobs/src/owner.fixture.ts
+++ b/packages/jobs/src/owner.fixture.ts
@@ -1,5 +1,5 @@
 /**
-An owner with everything around it replaced by functions that a test drives by hand.
+An `Owner` whose dependencies are replaced by functions that a test controls.
 */
 import {type TaskOutcome, type TaskRequest} from '@gentianshift/executors';
 import {
@@ -60,7 +60,7 @@
 		canServe: (target) => target === 'kitchens',
 		estimateTaskMs: (_service, declaredMs) => declaredMs,
 		learnRunMs() {
-			// Not of interest here.
+			// Not tested here.
 		},
 		sendTask(_executor, request, onEnd) {
 			sent.push({request, end: onEnd});
@@ -79,17 +79,17 @@
 		events: {
 			onTaskStart: () => ({
 				end() {
-					// Not of interest here.
+					// Not tested here.
 				},
 			}),
 			onJobStart() {
-				// Not of interest here.
+				// Not tested here.
 			},
 			onJobEnd() {
-				// Not of interest here.
+				// Not tested here.
 			},
 			onLateAnswer() {
-				// Not of interest here.
+				// Not tested here.
 			},
 		},
 	});
@@ -112,7 +112,7 @@
 		return record;
 	}
 
-	/** Grants a slot; `isUsable` and `keeps` are what the lease and the keeper would say. */
+	/** Grants a slot; `isUsable` stands for the state of its lease, `keeps` for the keeper's reply after a task. */
 	function grant(
 		record: JobRecord,
 		{isUsable = true, keeps = true} = {},
--- a/packages/jobs/src/owner.test.ts
+++ b/packages/jobs/src/owner.test.ts
@@ -2,7 +2,7 @@
 import {test} from 'node:test';
 import {buildOwner, done} from './owner.fixture.js';
 
-test('a job completes with its results in task order, whatever order the answers came in', () => {
+test('a job returns its results in task order, whatever the order of the responses', () => {
 	const {submit, grant, sent} = buildOwner();
 	const record = submit();
 	grant(record, {keeps: false});
@@ -14,7 +14,7 @@
 	assert.deepEqual(answer.results, ['first', 'second']);
 });
 
-test('one slot serves a job task by task while the keeper leaves it to it', () => {
+test('a job uses one slot for one task after another while the keeper lets it keep the slot', () => {
 	const {submit, grant, sent, released} = buildOwner();
 	const record = submit();
 	grant(record);
@@ -25,9 +25,9 @@
 	assert.equal(record.state, 'complete');
 });
 
-test('a resubmission joins the job and starts nothing again', () => {
-	// The answer is lost on its way back, and the caller submits the same id again.
-	// It gets the same answer; without the record every task would run twice.
+test('a resubmission joins the known job and starts no task again', () => {
+	// The answer to the caller is lost, and the caller submits the same id again.
+	// The caller gets the same answer; without the record every task would run twice.
 	const {submit, grant, sent} = buildOwner();
 	const record = submit({tasks: ['a']});
 	grant(record);
@@ -36,7 +36,7 @@
 	assert.equal(sent.length, 1);
 });
 
-test('another body under a known id is refused and not mixed up with the job', () => {
+test('a submission with another body under a known id is refused', () => {
 	const {submit, owner} = buildOwner();
 	submit();
 	const answer = owner.submitJob({
@@ -53,7 +53,7 @@
 	assert.equal('code' in answer && answer.code, 'id-in-use');
 });
 
-test('a failed task fails the job at once and nothing more of it starts', () => {
+test('a failed task fails the job at once, and no further task starts', () => {
 	const {submit, grant, sent} = buildOwner();
 	const record = submit({tasks: ['a', 'b', 'c']});
 	grant(record);
@@ -68,9 +68,9 @@
 	assert.equal(record.readReply()._unsafeUnwrapErr(), problem);
 });
 
-test('a task whose request may have been written is never sent again', () => {
-	// The connection to an executor breaks after the request went out. The task may have run:
-	// the caller is told "unknown", and no other executor gets it.
+test('a task is never sent again if its request may have been written', () => {
+	// The connection to an executor breaks after the request was sent. The task may have run, so the
+	// caller's answer says `unknown`, and the task is sent to no other executor.
 	const {submit, grant, sent} = buildOwner();
 	const record = submit({tasks: ['a']});
 	grant(record);
@@ -85,7 +85,7 @@
 	{result: 'refused', runMs: 1},
 	{result: 'withheld', runMs: 1},
 ] as const) {
-	test(`a task that certainly did not run (${outcome.result}) is placed again`, () => {
+	test(`a task that certainly did not run (${outcome.result}) is sent again`, () => {
 		const {submit, grant, sent, demands} = buildOwner();
 		const record = submit({tasks: ['a']});
 		grant(record);
@@ -97,9 +97,9 @@
 	});
 }
 
-test('a slot whose lease has lapsed starts nothing', () => {
-	// The host was paused between the grant and the start, or its keeper was. The executor may
-	// have been told to leave meanwhile, so the slot goes back and another one is asked for.
+test('no task starts on a slot whose lease has expired', () => {
+	// This host or the slot's keeper was paused between the grant and the start. Meanwhile the executor
+	// may have been asked to leave, so the slot is released and another one is requested.
 	const {submit, grant, sent, released, demands} = buildOwner();
 	const record = submit();
 	grant(record, {isUsable: false});
@@ -108,7 +108,7 @@
 	assert.equal(demands.length, 2);
 });
 
-test('nothing starts after the deadline, even before the timer has noticed it', () => {
+test('no task starts after the deadline, even if the deadline timer has not fired yet', () => {
 	const {submit, grant, sent, clock} = buildOwner();
 	const record = submit();
 	clock.now = 60_001;
@@ -116,9 +116,9 @@
 	assert.equal(sent.length, 0);
 });
 
-test('a refused attempt stays refused, and the next attempt is served', () => {
-	// A balancer's copy of the refused request arrives late. Its caller was told that nothing
-	// ran and may act on it, so the copy must not start; a caller who comes back must be served.
+test('a refused attempt stays refused, and the next attempt starts', () => {
+	// A load balancer's copy of a refused request arrives late. The caller may rely on the answer that
+	// nothing ran, so the copy must not start. A new attempt by the caller must start.
 	const {submit, refuse, grant, sent} = buildOwner();
 	const first = submit({tasks: ['a']});
 	refuse(first.number, {code: 'overloaded', retryAfterMs: 100});
@@ -131,8 +131,8 @@
 	assert.equal(submit({tasks: ['a']}), second);
 });
 
-test('an id of an expired generation is not started and not called "not run"', () => {
-	// A copy of a submission arrives minutes late, when its record has been dropped.
+test('a job of an expired generation does not start, and its refusal does not claim that nothing ran', () => {
+	// A copy of a submission arrives minutes late, when the job's record has been dropped.
 	const {owner, clock, submit, grant, sent} = buildOwner();
 	grant(submit({tasks: ['a']}));
 	sent[0]!.end(done);
@@ -149,7 +149,7 @@
 	]);
 });
 
-test('limits refuse a job before anything of it runs', () => {
+test('a job with more tasks than its service allows is refused', () => {
 	const {submit} = buildOwner({maxTasks: 3});
 	for (const [tasks, code] of [
 		[Array.from({length: 4}, () => 'a'), 'too-many-tasks'],
@@ -160,7 +160,7 @@
 	}
 });
 
-test('a stopping host refuses new jobs and finishes those it has', () => {
+test('a stopping host refuses new jobs and completes accepted ones', () => {
 	const {owner, submit, grant, sent} = buildOwner();
 	const record = submit({tasks: ['a']});
 	owner.startStopping();
@@ -171,9 +171,10 @@
 	assert.equal(owner.activeJobs, 0);
 });
 
-test('a task that outlives its job keeps its slot until it ends', () => {
-	// The job is answered at its deadline, but the executor cooks on. A slot given back at once
-	// would be lent again, and the executor asked for more than its slots; it refuses the next one.
+test('a task that runs longer than its job occupies its slot until it ends', () => {
+	// The job is answered before its task has ended, and the executor still runs the task. If the slot
+	// were released then, it would be lent again, and the executor would refuse the next task because
+	// all of its slots are in use.
 	const {submit, grant, sent, released, clock, owner} = buildOwner({
 		taskLimitMs: 30_000,
 	});
--- a/packages/jobs/src/owner.ts
+++ b/packages/jobs/src/owner.ts
@@ -1,11 +1,13 @@
 /**
-The jobs that this incarnation owns: taken in, started task by task on granted slots, answered.
-
-At most once rests on three things here. A job's record is made once per id and generation, and
-only this process holds it. A task leaves its queue when it is sent, and returns only on the
-evidence that no byte of it was written or that the executor refused it. The clock, the lease
-and the deadline are read right before each start, so that a host that was paused starts nothing
-on what lapsed meanwhile.
+The jobs that this process owns: accepts them, starts their tasks on granted slots, answers them.
+
+Three rules ensure that a task runs at most once:
+- Only this process holds a job's record, and it creates one record per id and generation (a
+  refused job gets a new record with its next attempt).
+- A task leaves its queue when it is sent. It returns to the queue only on evidence that no byte of
+  its request was written, or that the executor refused it.
+- The clock, the lease and the deadline are read right before each start, so that a host that was
+  paused starts no task on a lease or deadline that expired meanwhile.
 */
 import {type SlotOutcome} from '@gentianshift/decisions';
 import {type TaskOutcome, type TaskRequest} from '@gentianshift/executors';
@@ -33,7 +35,7 @@
 	type UsableSlot,
 } from './slot-source.js';
 
-/** What the owner tells of its doings, for metrics and spans. */
+/** Callbacks for metrics and trace spans. */
 export type OwnerEvents = {
 	onTaskStart: (
 		record: JobRecord,
@@ -51,9 +53,9 @@
 	now: () => number;
 	findService: (name: string) => ServiceSpec | undefined;
 	hasTeam: (name: string) => boolean;
-	/** Whether the target has anything that could ever run a task. */
+	/** Whether the target has an executor that could run a task. */
 	canServe: (target: string) => boolean;
-	/** What one task of a service is thought to take, milliseconds. */
+	/** Expected run time of one task of the service, milliseconds. */
 	estimateTaskMs: (service: string, declaredMs: number) => number;
 	learnRunMs: (service: string, runMs: number) => void;
 	sendTask: (
@@ -68,14 +70,14 @@
 export type OwnedSubmission = {
 	id: string;
 	attempt: number;
-	/** Of the id; names claimed in the platform's service have the generation of their claim. */
+	/** Generation of the id; for a name claimed in the platform's service, the generation at its claim. */
 	generation: number;
 	submission: Submission;
 	traceparent?: string;
 };
 
-/** Work that got no slot before its deadline comes back after this at the soonest, milliseconds. */
-const leastRetryMs = 200;
+/** Minimum retry delay for a job that got no slot before its deadline, or before this host stopped. */
+const unstartedRetryMs = 200;
 
 export class Owner {
 	readonly #table: JobTable;
@@ -105,12 +107,12 @@
 		return this.#table.queuedTasks;
 	}
 
-	/** From now on new jobs are refused; those taken in go on. */
+	/** Refuses new jobs from now on; accepted jobs continue. */
 	startStopping(): void {
 		this.#isStopping = true;
 	}
 
-	/** Takes a job in, joins the one under the same id, or refuses. */
+	/** Accepts a job, or returns the one already known under the same id, or refuses. A refusal is either a record in state `refused` or a problem. */
 	submitJob(request: OwnedSubmission): JobRecord | Problem {
 		this.#table.dropExpired(
 			(generation) =>
@@ -152,13 +154,18 @@
 		return this.#table.findId(id);
 	}
 
-	/** Ends a job on its caller's wish: nothing more of it starts. */
+	/** Ends a job at its caller's request; no further task of it starts. */
 	cancelJob(record: JobRecord): JobReply {
-		this.#fail(record, 'cancelled', 'cancelled', 'cancelled by its caller');
+		this.#fail(
+			record,
+			'cancelled',
+			'cancelled',
+			'the caller cancelled the job',
+		);
 		return record.readReply();
 	}
 
-	/** Ends all jobs still under way: the limit of a planned stop has passed. */
+	/** Ends all active jobs, when the time limit of a planned stop has passed. */
 	abandonJobs(): void {
 		for (const record of this.#table.listActive()) {
 			this.#fail(
@@ -171,8 +178,9 @@
 	}
 
 	/**
-	A resubmission under a known id: the same job is joined; another body is not mixed up with it;
-	a refused attempt stays refused, since its caller was told that nothing ran and may rely on it.
+	Handles a submission under a known id. The same body joins the known job; another body is a
+	problem. A refused attempt stays refused, since its caller may rely on the answer that nothing
+	ran. Returns undefined for a later attempt of a refused job, which starts as a new job.
 	*/
 	#join(
 		known: JobRecord,
@@ -214,7 +222,7 @@
 		});
 	}
 
-	/** What this host knows of its room for the job, for the checks that need no keeper. */
+	/** This host's state for `judgeSubmission`. */
 	#viewAdmission({submission}: JobRecord): AdmissionView {
 		const {findService, hasTeam, canServe, limits} = this.#options;
 		const service = findService(submission.service);
@@ -287,7 +295,7 @@
 		}
 	}
 
-	/** Starts the job's next task on the slot; false when there is none to start. */
+	/** Starts the job's next task on the slot; returns false if no task is queued or the deadline has passed. */
 	#startTask(record: JobRecord, slot: UsableSlot): boolean {
 		const service = this.#options.findService(record.submission.service);
 		const leftMs = record.deadlineAt - this.#options.now();
@@ -309,7 +317,7 @@
 			taskId: `${record.id}/${task.index}`,
 			path: service.path,
 			payload: task.payload,
-			// Past the job's deadline the executor may run on: the slot is in use until it answers.
+			// Not cut to the job's deadline: the executor may still run the task then, and its slot is in use until it answers.
 			limitMs: service.taskLimitMs,
 			deadlineMs: Math.min(service.taskLimitMs, leftMs),
 			traceparent: span.traceparent,
@@ -393,7 +401,7 @@
 					record,
 					'failed',
 					'task-unknown',
-					`task ${index} may have run: ${outcome.detail}`,
+					`task ${index} gave no complete response and may have run: ${outcome.detail}`,
 				);
 				break;
 			}
@@ -401,8 +409,9 @@
 	}
 
 	/**
-	Ends a job without an answer, at once. Says "none" only if no task was ever sent; the record
-	then counts as refused, so that a late copy of the submission cannot make it untrue.
+	Ends a job with a problem. The problem says `ran: 'none'` only if no task can have run. A job that
+	failed so is recorded as refused: a delayed copy of the submission then can't start it and make
+	that answer false.
 	*/
 	#fail(
 		record: JobRecord,
@@ -420,7 +429,7 @@
 			isRefusal ? 'refused' : state,
 			createProblem(code, ran, detail, {
 				id: record.id,
-				retryAfterMs: isRefusal ? leastRetryMs : undefined,
+				retryAfterMs: isRefusal ? unstartedRetryMs : undefined,
 				...(ran === 'none'
 					? {}
 					: {
@@ -443,7 +452,7 @@
 		const problem = createProblem(
 			refusal.code,
 			'none',
-			'refused by the keeper of the slots before anything ran',
+			'the slot keeper refused the job before any of its tasks ran',
 			{
 				id: record.id,
 				retryAfterMs: refusal.retryAfterMs,
--- a/packages/jobs/src/problems.ts
+++ b/packages/jobs/src/problems.ts
@@ -1,7 +1,7 @@
 /**
-The refusals and failures this host can answer, each with what is true of the job: nothing ran,
-something ran, or it can't be known. Every maker that says "none" is listed in
-docs/REFUSALS.md with why that is true.
+Refusals and failures that this host answers. Each says whether any task of the job ran: `none`,
+`some` or `unknown`. Every place that creates a problem with `none` is listed in docs/REFUSALS.md,
+with the reason why no task can have run.
 */
 import {type Problem, type Ran} from '@gentianshift/resources';
 
--- a/packages/jobs/src/router.ts
+++ b/packages/jobs/src/router.ts
@@ -1,5 +1,5 @@
 /**
-Takes callers' requests at any host: runs what this host owns, hands the rest to the owner.
+Handles callers' requests on any host: serves jobs that this host owns, forwards others to their owner.
 */
 import {err, ok, type Result} from 'neverthrow';
 import {type Link, type MessageOf, type Session} from '@gentianshift/protocol';
@@ -22,9 +22,9 @@
 import {type Owner} from './owner.js';
 import {createProblem} from './problems.js';
 
-/** One hop of a request, for its trace. */
+/** Trace span of a request on this host. */
 export type HopSpan = {
-	/** To send on. */
+	/** Trace context to pass on with the request. */
 	traceparent: string;
 	end: (error?: string) => void;
 };
@@ -35,9 +35,9 @@
 	names: NameRegister;
 	findService: (name: string) => ServiceSpec | undefined;
 	findLink: (hostKey: string) => Link | undefined;
-	/** A span under the caller's trace context, or a new trace. */
+	/** Starts a span under the given trace context, or a new trace if there is none. */
 	startSpan: (name: string, traceparent?: string) => HopSpan;
-	/** 16 hexadecimal digits from a cryptographic source. */
+	/** Returns 16 hexadecimal digits from a cryptographically secure source. */
 	createRandom: () => string;
 };
 
@@ -56,8 +56,8 @@
 	traceparent?: string;
 };
 
-/** How often a watched job's state is read anew, milliseconds. */
-const watchMs = 250;
+/** Interval at which the state of a watched job is read. */
+const watchIntervalMs = 250;
 
 export class Router {
 	readonly #forwards = new Forwards();
@@ -108,7 +108,7 @@
 		return this.#ask({...request, operation: 'cancel', waitMs: 0});
 	}
 
-	/** Yields the state whenever it has changed, the final answer or problem last. */
+	/** Yields the job's state whenever its number of done tasks has changed; ends with the final answer or a problem. */
 	async *watchJob({
 		id,
 		signal,
@@ -120,7 +120,7 @@
 		while (!signal.aborted) {
 			const reply = await this.queryJob({
 				id,
-				waitMs: lastDone < 0 ? 0 : watchMs,
+				waitMs: lastDone < 0 ? 0 : watchIntervalMs,
 			});
 			if (reply.isErr() || reply.value.state === 'complete') {
 				yield reply;
@@ -134,7 +134,7 @@
 		}
 	}
 
-	/** A request that another host forwarded here, this host being the owner. */
+	/** Answers a request that another host forwarded to this host as the owner of the job. */
 	async serveForward(
 		session: Session,
 		message: MessageOf<'forward'>,
@@ -156,8 +156,8 @@
 	}
 
 	/**
-	A submission without an id gets one here. A service whose requests are not idempotent takes
-	none without: a retry by the caller or a balancer would be a second run that nobody sees.
+	Issues an id for a submission without one. Services that are not idempotent require an id from
+	the caller: a retry by the caller or a load balancer would run the job a second time unnoticed.
 	*/
 	#chooseId(request: CallerSubmission): Result<string, Problem> {
 		if (request.id !== undefined) {
@@ -171,7 +171,7 @@
 				createProblem(
 					'id-required',
 					'none',
-					'make an id under the issuer: ISSUER.RANDOM',
+					'submit with an id of the form ISSUER.RANDOM, where ISSUER is the given issuer',
 					{issuer},
 				),
 			);
@@ -275,13 +275,13 @@
 				createProblem(
 					'malformed-id',
 					'unknown',
-					'a forward that cannot be read',
+					'the forwarded request cannot be parsed',
 					{id: message.id},
 				),
 			);
 		}
 
-		// Not forwarded a second time: two hosts that disagree must not send a request in circles.
+		// Never forwarded a second time: hosts that disagree on the owner could forward a request in a loop.
 		const owner = await this.#findOwner(parsed.value, {...message, submission});
 		return owner.isOk() && this.#isSelf(owner.value)
 			? this.#submitHere({...message, submission}, owner.value.generation)
@@ -299,7 +299,7 @@
 				createProblem(
 					'owner-gone',
 					'unknown',
-					'the process that owned the job is gone; it may have run',
+					'the process that owned the job has ended; the job may have run',
 					{
 						id: forward.id,
 					},
@@ -327,7 +327,7 @@
 	}
 }
 
-/** An id that can't be read has never been taken by any host: nothing of it ran. */
+/** A malformed id says `ran: 'none'`: no host ever accepts a job under an id that it can't parse. */
 function parseId(text: string): Result<JobId, Problem> {
 	return parseJobId(text).mapErr((error) =>
 		createProblem('malformed-id', 'none', error.message),
@@ -338,7 +338,7 @@
 	return createProblem(
 		'not-found',
 		'unknown',
-		'the owner keeps no such job (any more)',
+		'the owner has no such job, or has dropped its record',
 		{id},
 	);
 }
--- a/packages/jobs/src/slot-source.ts
+++ b/packages/jobs/src/slot-source.ts
@@ -1,39 +1,39 @@
 /**
-Where the owner of a job gets executor slots from, as functions passed in: the keepers of the
-slots package in a host, other policies in the bench.
+The interface through which the owner of a job obtains executor slots. A host implements it with
+the slots package, in which keepers grant slots; the benchmark implements it with other policies.
 */
 import {type SlotOutcome} from '@gentianshift/decisions';
 import {type Executor} from '@gentianshift/resources';
 
-/** A slot of one executor that a job may use for one task after another. */
+/** A slot of one executor, granted to a job, that runs one task at a time. */
 export type UsableSlot = {
 	executor: Executor;
 	/**
-	Whether a task may be started on it at this moment: its lease still runs and the executor
-	isn't leaving. Read right before each start, because this host may have been paused.
+	Whether a task may be started on the slot now: its lease has not expired and the executor is not
+	leaving. Must be called right before each start, because this host may have been paused.
 	*/
 	isUsable: () => boolean;
-	/** The task ended; true when the slot may be used at once for the job's next task. */
+	/** Reports the end of a task; returns true if the job may use the slot for its next task. */
 	keep: (
 		outcome: SlotOutcome,
 		left: Pick<JobDemand, 'remaining' | 'queued'>,
 	) => boolean;
-	/** Gives the slot back. */
+	/** Returns the slot. */
 	release: (outcome: SlotOutcome) => void;
 };
 
 export type JobDemand = {
-	/** The owner's own number of the job. */
+	/** Number of the job, unique within its owner's process. */
 	job: number;
 	target: string;
 	service: string;
 	team: string;
-	/** Tasks not yet done, those running included. */
+	/** Tasks not yet done, including those that run. */
 	remaining: number;
 	/** Tasks that wait for a slot. */
 	queued: number;
 	taskMs: number;
-	/** Something of the job was started: it can no longer be refused. */
+	/** Whether a task of the job was started; such a job can no longer be refused. */
 	hasStarted: boolean;
 	/** Monotonic milliseconds. */
 	deadlineAt: number;
@@ -47,13 +47,13 @@
 
 export type SlotHandlers = {
 	onSlot: (job: number, slot: UsableSlot) => void;
-	/** Only before any slot of the job was granted. */
+	/** Called only before a slot was granted to the job. */
 	onRefusal: (job: number, refusal: SlotRefusal) => void;
 };
 
 export type SlotSource = {
-	/** Tells or updates what a job wants. */
+	/** Sets or replaces the demand of a job. */
 	demandSlots: (demand: JobDemand) => void;
-	/** The job wants nothing more. */
+	/** Removes the demand of a job, which then gets no more slots. */
 	withdrawDemand: (job: number) => void;
 };
