--- a/packages/executors/src/connect-error.ts
+++ b/packages/executors/src/connect-error.ts
@@ -8,11 +8,11 @@
 /** Time-out for opening a connection to an executor. */
 export const connectTimeoutMs = 1000;
 
-const marked = new WeakSet<Error>();
+const connectErrors = new WeakSet<Error>();
 
 /** True if the error occurred while connecting, so that no byte of the request was written. */
 export function isConnectError(error: unknown): boolean {
-	return error instanceof Error && marked.has(error);
+	return error instanceof Error && connectErrors.has(error);
 }
 
 /** Creates a connector whose errors `isConnectError` recognises; `source` is the local IP to connect from. */
@@ -26,7 +26,7 @@
 		// undici passes a `localAddress` of null, which would override the one given to buildConnector.
 		connect({...options, localAddress: source}, (...result) => {
 			if (result[0]) {
-				marked.add(result[0]);
+				connectErrors.add(result[0]);
 			}
 
 			callback(...result);
--- a/packages/executors/src/executor-pool.test.ts
+++ b/packages/executors/src/executor-pool.test.ts
@@ -7,7 +7,7 @@
 import {type TaskOutcome, type TaskRequest} from './outcome.js';
 
 /** Starts an executor that records the ids of the tasks it receives, and a connection pool to it. */
-async function openPool(context: TestContext, share: number) {
+async function openPool(context: TestContext, maxIdleConnections: number) {
 	const taskIds: unknown[] = [];
 	const server = createServer((request, response) => {
 		taskIds.push(request.headers['gentianshift-task']);
@@ -18,7 +18,7 @@
 	const {port} = server.address() as AddressInfo;
 	const pool = new ExecutorPool({
 		address: `127.0.0.1:${port}`,
-		share,
+		maxIdleConnections,
 		slots: 8,
 	});
 	context.after(async () => {
@@ -43,14 +43,14 @@
 	return {taskIds, sendTask};
 }
 
-for (const [kind, share] of [
-	['kept', 1],
+for (const [kind, maxIdleConnections] of [
+	['kept open', 1],
 	['closed after each request', 0],
 ] as const) {
 	// A host resumes after a pause and opens a connection only then. Meanwhile the executor may have been
 	// asked to leave, so the task that waited for the connection must not be sent to it.
 	test(`a request that waited for a connection (${kind}) is not written after its slot has become unusable`, async (context) => {
-		const {taskIds, sendTask} = await openPool(context, share);
+		const {taskIds, sendTask} = await openPool(context, maxIdleConnections);
 		let isUsable = true;
 		const withheld = sendTask({isUsable: () => isUsable});
 		isUsable = false;
--- a/packages/executors/src/executor-pool.ts
+++ b/packages/executors/src/executor-pool.ts
@@ -9,23 +9,26 @@
 import {type TaskOutcome, type TaskRequest} from './outcome.js';
 
 /**
-Idle connections are closed after this time. Network equipment between host and executor may
-drop the state of idle connections; a request written to such a connection is lost, and its task ends as
-`unknown`. Connections used within about the last second are not affected.
+Idle connections are closed after this time. Network equipment between host and executor may drop
+the state of idle connections; a request written to such a connection is lost, and its task ends
+as `unknown`. Connections used within about the last second are not affected.
 */
-export const idleLimitMs = 1500;
+export const idleTimeoutMs = 1500;
 
 /** Maximum size of a response body; the request for a larger one is aborted and ends as `unknown`. */
-export const maxAnswerBytes = 4 * 1024 * 1024;
+export const maxResponseBytes = 4 * 1024 * 1024;
 
-/** Task time-outs are rounded up to a multiple of this: Node.js keeps timers of equal duration in one list. */
-const timerGrainMs = 50;
+/**
+Task time-outs are rounded up to a multiple of this: Node.js keeps timers of equal duration in
+one list.
+*/
+const timeoutStepMs = 50;
 
 export type ExecutorPoolOptions = {
 	/** `ip:port`. */
 	address: string;
 	/** Maximum number of connections kept open while idle. */
-	share: number;
+	maxIdleConnections: number;
 	/** Number of requests that the executor runs concurrently. */
 	slots: number;
 	/** Local IP of outgoing connections. */
@@ -33,16 +36,18 @@
 };
 
 export class ExecutorPool {
-	/** Connections that stay open between requests; undefined if `share` is 0. */
-	readonly #kept: Pool | undefined;
-	/** Connections beyond this host's share, closed after each request. */
-	readonly #extra: Pool;
+	/** Connections that stay open between requests; undefined if `maxIdleConnections` is 0. */
+	readonly #persistentPool: Pool | undefined;
+	/** Connections beyond `maxIdleConnections`, closed after each request. */
+	readonly #singleUsePool: Pool;
 	#running = 0;
 
 	constructor(readonly options: ExecutorPoolOptions) {
-		this.#kept =
-			options.share > 0 ? createPool(options, options.share) : undefined;
-		this.#extra = createPool(options, options.slots);
+		this.#persistentPool =
+			options.maxIdleConnections > 0
+				? createPool(options, options.maxIdleConnections)
+				: undefined;
+		this.#singleUsePool = createPool(options, options.slots);
 	}
 
 	/** Number of requests in progress. */
@@ -57,17 +62,18 @@
 			this.#running -= 1;
 			onEnd(outcome);
 		});
-		const isKept =
-			this.#kept !== undefined && this.#running <= this.options.share;
-		(isKept ? this.#kept : this.#extra).dispatch(
+		const isPersistent =
+			this.#persistentPool !== undefined &&
+			this.#running <= this.options.maxIdleConnections;
+		(isPersistent ? this.#persistentPool : this.#singleUsePool).dispatch(
 			{
 				path: request.path,
 				method: 'POST',
-				headers: listHeaders(request),
+				headers: buildHeaders(request),
 				body: request.payload,
 				// Prevents undici from retrying the request when the connection fails.
 				idempotent: false,
-				reset: !isKept,
+				reset: !isPersistent,
 			},
 			exchange,
 		);
@@ -75,12 +81,18 @@
 
 	/** Waits for requests in progress, then closes the connections. */
 	async close(): Promise<void> {
-		await Promise.all([this.#kept?.close(), this.#extra.close()]);
+		await Promise.all([
+			this.#persistentPool?.close(),
+			this.#singleUsePool.close(),
+		]);
 	}
 
 	/** Aborts requests in progress and closes all connections. */
 	async destroy(): Promise<void> {
-		await Promise.all([this.#kept?.destroy(), this.#extra.destroy()]);
+		await Promise.all([
+			this.#persistentPool?.destroy(),
+			this.#singleUsePool.destroy(),
+		]);
 	}
 }
 
@@ -91,25 +103,25 @@
 	return new Pool(`http://${address}`, {
 		connections,
 		pipelining: 1,
-		keepAliveTimeout: idleLimitMs,
-		keepAliveMaxTimeout: idleLimitMs,
+		keepAliveTimeout: idleTimeoutMs,
+		keepAliveMaxTimeout: idleTimeoutMs,
 		headersTimeout: 0,
 		bodyTimeout: 0,
 		connect: createConnector(source),
 	});
 }
 
-function listHeaders(request: TaskRequest): Record<string, string> {
-	const list: Record<string, string> = {
+function buildHeaders(request: TaskRequest): Record<string, string> {
+	const result: Record<string, string> = {
 		'content-type': 'application/json',
 		[headers.task]: request.taskId,
 		[headers.deadline]: String(Math.ceil(request.deadlineMs)),
 	};
 	if (request.traceparent !== undefined) {
-		list.traceparent = request.traceparent;
+		result.traceparent = request.traceparent;
 	}
 
-	return list;
+	return result;
 }
 
 /** One request and its response. */
@@ -120,27 +132,27 @@
 	#status = 0;
 	#isRefusal = false;
 	#isJson = false;
-	#size = 0;
+	#receivedBytes = 0;
 	#chunks: Buffer[] = [];
-	#ended = false;
+	#isEnded = false;
 
 	constructor(
 		private readonly request: TaskRequest,
 		private readonly onEnd: (outcome: TaskOutcome) => void,
 	) {
-		const limit =
-			Math.ceil(Math.max(1, request.limitMs) / timerGrainMs) * timerGrainMs;
+		const timeoutMs =
+			Math.ceil(Math.max(1, request.limitMs) / timeoutStepMs) * timeoutStepMs;
 		this.#timer = setTimeout(() => {
 			this.#giveUp('no complete response within the time limit');
-		}, limit);
+		}, timeoutMs);
 	}
 
 	onRequestStart(controller: Dispatcher.DispatchController): void {
-		if (!this.#ended && !this.request.isUsable()) {
-			this.#end({result: 'withheld', runMs: this.#measure()});
+		if (!this.#isEnded && !this.request.isUsable()) {
+			this.#end({result: 'withheld', runMs: this.#measureRunMs()});
 		}
 
-		if (this.#ended) {
+		if (this.#isEnded) {
 			controller.abort(new Error('request ended before it was sent'));
 			return;
 		}
@@ -165,9 +177,9 @@
 		_controller: Dispatcher.DispatchController,
 		chunk: Buffer,
 	): void {
-		this.#size += chunk.length;
-		if (this.#size > maxAnswerBytes) {
-			this.#giveUp(`response exceeds ${maxAnswerBytes} bytes`);
+		this.#receivedBytes += chunk.length;
+		if (this.#receivedBytes > maxResponseBytes) {
+			this.#giveUp(`response exceeds ${maxResponseBytes} bytes`);
 			return;
 		}
 
@@ -175,7 +187,7 @@
 	}
 
 	onResponseEnd(): void {
-		const runMs = this.#measure();
+		const runMs = this.#measureRunMs();
 		if (this.#isRefusal) {
 			this.#end({result: 'refused', runMs});
 			return;
@@ -194,14 +206,14 @@
 			return;
 		}
 
-		this.#end(readValue(text, this.#isJson, runMs));
+		this.#end(parseResponse(text, this.#isJson, runMs));
 	}
 
 	onResponseError(
 		_controller: Dispatcher.DispatchController,
 		error: Error,
 	): void {
-		const runMs = this.#measure();
+		const runMs = this.#measureRunMs();
 		const detail = error.message;
 		this.#end(
 			isConnectError(error)
@@ -211,8 +223,9 @@
 	}
 
 	#giveUp(detail: string): void {
-		const runMs = this.#measure();
-		// Without a controller the request has no connection yet: nothing was written, and onRequestStart aborts it before undici sends it.
+		const runMs = this.#measureRunMs();
+		// Without a controller the request has no connection yet: nothing was written, and
+		// onRequestStart aborts it before undici sends it.
 		this.#end(
 			this.#controller
 				? {result: 'unknown', detail, runMs}
@@ -221,24 +234,31 @@
 		this.#controller?.abort(new Error(detail));
 	}
 
-	#measure(): number {
+	#measureRunMs(): number {
 		return performance.now() - this.#sentAt;
 	}
 
 	#end(outcome: TaskOutcome): void {
-		if (this.#ended) {
+		if (this.#isEnded) {
 			return;
 		}
 
-		this.#ended = true;
+		this.#isEnded = true;
 		clearTimeout(this.#timer);
 		this.#chunks = [];
 		this.onEnd(outcome);
 	}
 }
 
-/** A response that is declared as JSON but can't be parsed was damaged in transit or by the executor: the task ran and failed. */
-function readValue(text: string, isJson: boolean, runMs: number): TaskOutcome {
+/**
+A response that is declared as JSON but can't be parsed was damaged in transit or by the
+executor: the task ran and failed.
+*/
+function parseResponse(
+	text: string,
+	isJson: boolean,
+	runMs: number,
+): TaskOutcome {
 	if (!isJson) {
 		return {result: 'done', value: text, runMs};
 	}
--- a/packages/executors/src/executor-pools.test.ts
+++ b/packages/executors/src/executor-pools.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {computeShare} from './executor-pools.js';
+import {computeMaxIdleConnections} from './executor-pools.js';
 
 for (const [hosts, connections, slots, share] of [
 	[1, 60, 60, 60],
@@ -10,13 +10,13 @@
 	[100, 60, 8, 0],
 ] as const) {
 	test(`${hosts} host(s) keep ${share} idle connections each, given ${connections} connections and ${slots} slots`, () => {
-		assert.equal(computeShare({connections, slots}, hosts), share);
+		assert.equal(computeMaxIdleConnections({connections, slots}, hosts), share);
 	});
 }
 
 test('connections stay within the limit when one host uses all slots and the others are idle', () => {
 	for (let hosts = 1; hosts < 70; hosts++) {
-		const share = computeShare({connections: 60, slots: 8}, hosts);
+		const share = computeMaxIdleConnections({connections: 60, slots: 8}, hosts);
 		assert.ok((hosts - 1) * share + 8 <= 60, `${hosts} hosts, ${share} each`);
 	}
 });
--- a/packages/executors/src/executor-pools.ts
+++ b/packages/executors/src/executor-pools.ts
@@ -21,7 +21,7 @@
 could leave none for the others. With very many hosts the share is 0: every request then opens
 and closes a connection of its own, and the number of lent slots bounds the connections.
 */
-export function computeShare(
+export function computeMaxIdleConnections(
 	{connections, slots}: Pick<Executor, 'connections' | 'slots'>,
 	hosts: number,
 ): number {
@@ -47,7 +47,7 @@
 		request: TaskRequest,
 		onEnd: (outcome: TaskOutcome) => void,
 	): void {
-		this.#findPool(executor).sendTask(request, onEnd);
+		this.#getPool(executor).sendTask(request, onEnd);
 	}
 
 	/** Waits for requests in progress, then closes all connections. */
@@ -64,21 +64,24 @@
 		);
 	}
 
-	#findPool(executor: Executor): ExecutorPool {
-		const share = computeShare(executor, this.#options.countHosts());
-		const known = this.#pools.get(executor.address);
+	#getPool(executor: Executor): ExecutorPool {
+		const maxIdleConnections = computeMaxIdleConnections(
+			executor,
+			this.#options.countHosts(),
+		);
+		const existing = this.#pools.get(executor.address);
 		if (
-			known?.options.share === share &&
-			known.options.slots === executor.slots
+			existing?.options.maxIdleConnections === maxIdleConnections &&
+			existing.options.slots === executor.slots
 		) {
-			return known;
+			return existing;
 		}
 
 		// close() lets requests in progress on the old pool end.
-		void known?.close();
+		void existing?.close();
 		const pool = new ExecutorPool({
 			address: executor.address,
-			share,
+			maxIdleConnections,
 			slots: executor.slots,
 			source: this.#options.source,
 		});
--- a/packages/executors/src/outcome.ts
+++ b/packages/executors/src/outcome.ts
@@ -26,7 +26,10 @@
 	path: string;
 	/** JSON text. */
 	payload: string;
-	/** Time-out of the request, milliseconds. When it passes, the connection is destroyed and the task counts as lost. */
+	/**
+	Time-out of the request, milliseconds. When it passes, the connection is destroyed and the
+	task counts as lost.
+	*/
 	limitMs: number;
 	/** Milliseconds until the caller can no longer use the answer; sent to the executor in a header. */
 	deadlineMs: number;
--- a/packages/jobs/src/admission.ts
+++ b/packages/jobs/src/admission.ts
@@ -21,7 +21,7 @@
 };
 
 /** State of the host at the time of the submission. */
-export type AdmissionView = {
+export type HostState = {
 	service: ServiceSpec | undefined;
 	hasTeam: boolean;
 	/** Whether the service's target has an executor that could run its tasks. */
@@ -41,7 +41,7 @@
 /** Returns why the job is refused, or undefined if it is accepted. */
 export function judgeSubmission(
 	record: JobRecord,
-	view: AdmissionView,
+	view: HostState,
 ): Problem | undefined {
 	const refuse = (code: ProblemCode, detail: string, retryAfterMs?: number) =>
 		createProblem(code, 'none', detail, {id: record.id, retryAfterMs});
@@ -109,7 +109,7 @@
 function isFull(
 	record: JobRecord,
 	service: ServiceSpec,
-	{limits, activeJobs, queuedTasks}: AdmissionView,
+	{limits, activeJobs, queuedTasks}: HostState,
 ): boolean {
 	const queued = queuedTasks + record.taskCount;
 	return (
--- a/packages/jobs/src/forwards.ts
+++ b/packages/jobs/src/forwards.ts
@@ -12,20 +12,20 @@
 
 export type Forward = Omit<MessageOf<'forward'>, 't' | 'request'>;
 
-type Pending = {
+type PendingForward = {
 	linkKey: string;
 	id: string;
 	resolve: (reply: JobReply) => void;
 };
 
 export class Forwards {
-	readonly #pending = new Map<number, Pending>();
-	#last = 0;
+	readonly #pending = new Map<number, PendingForward>();
+	#lastRequest = 0;
 
 	/** Forwards a request to the owner; resolves with its answer, or with a problem when the link goes down. */
 	async sendForward(link: Link, forward: Forward): Promise<JobReply> {
-		this.#last += 1;
-		const request = this.#last;
+		this.#lastRequest += 1;
+		const request = this.#lastRequest;
 		const reply = new Promise<JobReply>((resolve) => {
 			this.#pending.set(request, {linkKey: link.key, id: forward.id, resolve});
 		});
@@ -43,23 +43,28 @@
 		if (message.answer) {
 			pending.resolve(ok(message.answer));
 		} else {
-			pending.resolve(err(message.problem ?? createUnreachable(pending.id)));
+			pending.resolve(
+				err(message.problem ?? createOwnerUnreachable(pending.id)),
+			);
 		}
 	}
 
 	/** Answers all requests that wait on this link with `owner-unreachable`. */
-	dropLink(key: string): void {
+	handleLinkDown(key: string): void {
 		for (const [request, pending] of this.#pending) {
 			if (pending.linkKey === key) {
 				this.#pending.delete(request);
-				pending.resolve(err(createUnreachable(pending.id)));
+				pending.resolve(err(createOwnerUnreachable(pending.id)));
 			}
 		}
 	}
 }
 
-/** The problem for a caller whose job's owner can't be reached. Only the owner knows what ran, so the caller may query again later. */
-export function createUnreachable(id: string) {
+/**
+The problem for a caller whose job's owner can't be reached. Only the owner knows what ran, so
+the caller may query again later.
+*/
+export function createOwnerUnreachable(id: string) {
 	return createProblem(
 		'owner-unreachable',
 		'unknown',
--- a/packages/jobs/src/job-record.ts
+++ b/packages/jobs/src/job-record.ts
@@ -22,7 +22,7 @@
 	unknown: 4,
 } as const;
 
-export type JobStart = {
+export type JobRecordOptions = {
 	id: string;
 	attempt: number;
 	/** Number of the job, unique within its owner's process. */
@@ -41,9 +41,9 @@
 	readonly submittedAt: number;
 	readonly deadlineAt: number;
 	state: JobState = 'queued';
-	done = 0;
+	doneTasks = 0;
 	/** Tasks whose request to an executor is in progress. */
-	inFlight = 0;
+	tasksInFlight = 0;
 	/** Tasks that were sent to an executor, without those that certainly did not run. */
 	startedTasks = 0;
 	problem: Problem | undefined;
@@ -53,17 +53,17 @@
 	#payloads: string[];
 	#results: unknown[];
 	#queue: number[];
-	readonly #waiters = new Set<() => void>();
-	#isDropped = false;
+	readonly #endListeners = new Set<() => void>();
+	#isAnswerDropped = false;
 
-	constructor(start: JobStart) {
-		const {tasks, ...submission} = start.submission;
-		this.id = start.id;
-		this.attempt = start.attempt;
-		this.number = start.number;
+	constructor(options: JobRecordOptions) {
+		const {tasks, ...submission} = options.submission;
+		this.id = options.id;
+		this.attempt = options.attempt;
+		this.number = options.number;
 		this.submission = submission;
-		this.submittedAt = start.submittedAt;
-		this.deadlineAt = start.deadlineAt;
+		this.submittedAt = options.submittedAt;
+		this.deadlineAt = options.deadlineAt;
 		this.taskCount = tasks.length;
 		this.#payloads = tasks.map((task) => JSON.stringify(task));
 		this.bodyHash = hashBody(submission, this.#payloads);
@@ -79,12 +79,12 @@
 		return this.state !== 'queued' && this.state !== 'running';
 	}
 
-	get queued(): number {
+	get queuedTasks(): number {
 		return this.#queue.length;
 	}
 
-	get remaining(): number {
-		return this.taskCount - this.done;
+	get remainingTasks(): number {
+		return this.taskCount - this.doneTasks;
 	}
 
 	/** Whether any task of the job ran, as far as the owner knows. */
@@ -93,7 +93,7 @@
 			return 'none';
 		}
 
-		return this.done > 0 || this.states.includes(taskStates.failed)
+		return this.doneTasks > 0 || this.states.includes(taskStates.failed)
 			? 'some'
 			: 'unknown';
 	}
@@ -107,14 +107,14 @@
 
 		this.states[index] = taskStates.started;
 		this.state = 'running';
-		this.inFlight += 1;
+		this.tasksInFlight += 1;
 		this.startedTasks += 1;
 		return {index, payload: this.#payloads[index]!};
 	}
 
 	/** Returns a task to the queue; only for tasks that certainly did not run. */
 	requeueTask(index: number): void {
-		this.inFlight -= 1;
+		this.tasksInFlight -= 1;
 		this.startedTasks -= 1;
 		this.states[index] = taskStates.queued;
 		if (!this.isFinal) {
@@ -124,15 +124,15 @@
 
 	/** Stores the result of a task; the last result completes the job. */
 	completeTask(index: number, value: unknown): void {
-		this.inFlight -= 1;
+		this.tasksInFlight -= 1;
 		this.states[index] = taskStates.done;
 		if (this.isFinal) {
 			return;
 		}
 
 		this.#results[index] = value;
-		this.done += 1;
-		if (this.done === this.taskCount) {
+		this.doneTasks += 1;
+		if (this.doneTasks === this.taskCount) {
 			this.state = 'complete';
 			this.#end();
 		}
@@ -140,7 +140,7 @@
 
 	/** Marks a task as failed, or as unknown: it may have run, but no complete response arrived. */
 	markTask(index: number, state: 'failed' | 'unknown'): void {
-		this.inFlight -= 1;
+		this.tasksInFlight -= 1;
 		this.states[index] = taskStates[state];
 	}
 
@@ -164,7 +164,7 @@
 	}
 
 	readReply(): JobReply {
-		if (this.#isDropped) {
+		if (this.#isAnswerDropped) {
 			return err(
 				createProblem(
 					'answer-dropped',
@@ -180,36 +180,36 @@
 
 	/** Calls the listener when the job ends; never, if it has already ended. */
 	onEnd(listener: () => void): void {
-		this.#waiters.add(listener);
+		this.#endListeners.add(listener);
 	}
 
 	/** Discards the results of a completed job; later replies are the problem `answer-dropped`. */
 	dropAnswer(): void {
 		if (this.state === 'complete') {
-			this.#isDropped = true;
+			this.#isAnswerDropped = true;
 			this.#results = [];
 		}
 	}
 
 	/** Resolves when the job ends, or after `waitMs`, with the job's state at that time. */
-	async waitReply(waitMs: number): Promise<JobReply> {
+	async waitForReply(waitMs: number): Promise<JobReply> {
 		if (!this.isFinal && waitMs > 0) {
-			await this.#wait(waitMs);
+			await this.#waitForEnd(waitMs);
 		}
 
 		return this.readReply();
 	}
 
-	async #wait(waitMs: number): Promise<void> {
+	async #waitForEnd(waitMs: number): Promise<void> {
 		await new Promise<void>((resolve) => {
 			const end = () => {
 				clearTimeout(timer);
-				this.#waiters.delete(end);
+				this.#endListeners.delete(end);
 				resolve();
 			};
 
 			const timer = setTimeout(end, waitMs);
-			this.#waiters.add(end);
+			this.#endListeners.add(end);
 		});
 	}
 
@@ -218,7 +218,7 @@
 			id: this.id,
 			state: this.state,
 			tasks: this.taskCount,
-			done: this.done,
+			done: this.doneTasks,
 		};
 		return this.state === 'complete'
 			? {...answer, results: this.#results}
@@ -228,8 +228,8 @@
 	#end(): void {
 		this.#payloads = [];
 		this.#queue = [];
-		const waiters = [...this.#waiters];
-		for (const end of waiters) {
+		const listeners = [...this.#endListeners];
+		for (const end of listeners) {
 			end();
 		}
 	}
--- a/packages/jobs/src/job-table.ts
+++ b/packages/jobs/src/job-table.ts
@@ -11,11 +11,11 @@
 	readonly #ended = new Set<JobRecord>();
 	#lastNumber = 0;
 
-	readonly #maxEnded: number;
+	readonly #maxKeptAnswers: number;
 
-	/** `maxEnded`: number of ended jobs whose answers are kept for repeated requests. */
-	constructor(maxEnded: number) {
-		this.#maxEnded = maxEnded;
+	/** `maxKeptAnswers`: number of ended jobs whose answers are kept for repeated requests. */
+	constructor(maxKeptAnswers: number) {
+		this.#maxKeptAnswers = maxKeptAnswers;
 	}
 
 	/** Jobs not yet ended. */
@@ -27,7 +27,7 @@
 	get queuedTasks(): number {
 		let sum = 0;
 		for (const record of this.#byNumber.values()) {
-			sum += record.queued;
+			sum += record.queuedTasks;
 		}
 
 		return sum;
@@ -46,11 +46,11 @@
 		this.#byGeneration.set(generation, ids);
 	}
 
-	findId(id: string): JobRecord | undefined {
+	findById(id: string): JobRecord | undefined {
 		return this.#byId.get(id);
 	}
 
-	findNumber(number: number): JobRecord | undefined {
+	findByNumber(number: number): JobRecord | undefined {
 		return this.#byNumber.get(number);
 	}
 
@@ -60,7 +60,8 @@
 
 	/**
 	Moves a job to the ended ones. Its record stays until its generation has expired. When more than
-	`maxEnded` jobs have ended, the oldest answer is dropped, and requests for it get `answer-dropped`.
+	`maxKeptAnswers` jobs have ended, the oldest answer is dropped; requests for it then get the
+	problem `answer-dropped`.
 	*/
 	retire(record: JobRecord): void {
 		if (!this.#byNumber.delete(record.number)) {
@@ -68,7 +69,7 @@
 		}
 
 		this.#ended.add(record);
-		if (this.#ended.size > this.#maxEnded) {
+		if (this.#ended.size > this.#maxKeptAnswers) {
 			const [oldest] = this.#ended;
 			this.#ended.delete(oldest!);
 			oldest!.dropAnswer();
--- a/packages/jobs/src/name-register.ts
+++ b/packages/jobs/src/name-register.ts
@@ -18,10 +18,10 @@
 Maximum difference between a name's time stamp and this host's clock. Twice this is less than the
 length of a generation, so a name's record is kept for as long as the name would be accepted.
 */
-export const nameWindowMs = 2 * 60 * 1000;
+export const maxNameSkewMs = 2 * 60 * 1000;
 
 /** A job is not started if its claim took longer than this, which is far below the claim's lease. */
-export const claimLimitMs = 10_000;
+export const claimTimeoutMs = 10_000;
 
 /** Default retry delay for callers while the platform's service is unavailable. */
 const platformRetryMs = 2000;
@@ -48,12 +48,18 @@
 	wallNow: () => number;
 };
 
-/** Maximum number of unsettled names. If the claim of a dropped name did take effect, its job can no longer start. */
+/**
+Maximum number of unsettled names. If the claim of a dropped name did take effect, its job can
+no longer start.
+*/
 const maxUnsettled = 10_000;
 
 export class NameRegister {
 	readonly #options: NameRegisterOptions;
-	/** Names whose claim may have taken effect without an answer in time, with the attempt that was answered `ran: 'unknown'`. */
+	/**
+	Names whose claim may have taken effect without an answer in time, with the attempt that was
+	answered `ran: 'unknown'`.
+	*/
 	readonly #unsettled = new Map<string, number>();
 	/** Claims in progress, so that concurrent submissions of a name share one claim. */
 	readonly #pending = new Map<string, Promise<Result<Issuer, Problem>>>();
@@ -72,7 +78,7 @@
 		}
 
 		if ((this.#unsettled.get(id.uuid) ?? 0) >= attempt) {
-			return err(createPlatformDown(id));
+			return err(createPlatformUnavailable(id));
 		}
 
 		const pending = this.#pending.get(id.uuid);
@@ -90,7 +96,7 @@
 	async findHolder(id: NamedId): Promise<Result<Issuer, Problem>> {
 		const holder = await this.#options.port.readHolder(id.uuid);
 		if (holder === 'unavailable') {
-			return err(createPlatformDown(id));
+			return err(createPlatformUnavailable(id));
 		}
 
 		return holder === 'none'
@@ -106,7 +112,7 @@
 	}
 
 	async #claim(id: NamedId, attempt: number): Promise<Result<Issuer, Problem>> {
-		if (Math.abs(this.#options.wallNow() - id.madeAt) > nameWindowMs) {
+		if (Math.abs(this.#options.wallNow() - id.madeAt) > maxNameSkewMs) {
 			return err(
 				createProblem(
 					'id-expired',
@@ -119,17 +125,17 @@
 			);
 		}
 
-		const askedAt = this.#options.now();
+		const startedAt = this.#options.now();
 		const self = this.#options.generations.readIssuer();
 		const claim = await this.#options.port.claimName(id.uuid, self);
 		if (
 			claim.state === 'unavailable' ||
-			this.#options.now() - askedAt > claimLimitMs
+			this.#options.now() - startedAt > claimTimeoutMs
 		) {
 			this.#rememberUnsettled(id.uuid, attempt);
 			const retryAfterMs =
 				claim.state === 'unavailable' ? claim.retryAfterMs : undefined;
-			return err(createPlatformDown(id, retryAfterMs));
+			return err(createPlatformUnavailable(id, retryAfterMs));
 		}
 
 		if (claim.state === 'claimed') {
@@ -168,7 +174,7 @@
 	}
 }
 
-function createPlatformDown(
+function createPlatformUnavailable(
 	id: NamedId,
 	retryAfterMs = platformRetryMs,
 ): Problem {
--- a/packages/jobs/src/owner.fixture.ts
+++ b/packages/jobs/src/owner.fixture.ts
@@ -30,7 +30,7 @@
 	state: 'active',
 };
 
-export const done = {
+export const doneOutcome = {
 	result: 'done',
 	value: 'soup',
 	runMs: 5,
@@ -65,8 +65,8 @@
 		sendTask(_executor, request, onEnd) {
 			sent.push({request, end: onEnd});
 		},
-		createSlotSource(given) {
-			handlers = given;
+		createSlotSource(givenHandlers) {
+			handlers = givenHandlers;
 			return {
 				demandSlots(demand) {
 					demands.push(demand);
@@ -95,9 +95,9 @@
 	});
 
 	function submit(
-		change: Partial<OwnedSubmission> & {tasks?: unknown[]} = {},
+		changes: Partial<OwnedSubmission> & {tasks?: unknown[]} = {},
 	): JobRecord {
-		const {tasks = ['a', 'b'], ...rest} = change;
+		const {tasks = ['a', 'b'], ...rest} = changes;
 		const record = owner.submitJob({
 			id: 'id-1',
 			attempt: 1,
@@ -112,15 +112,18 @@
 		return record;
 	}
 
-	/** Grants a slot; `isUsable` stands for the state of its lease, `keeps` for the keeper's reply after a task. */
+	/**
+	Grants a slot; `isUsable` stands for the state of its lease, `isKept` for the keeper's reply
+	after a task.
+	*/
 	function grant(
 		record: JobRecord,
-		{isUsable = true, keeps = true} = {},
+		{isUsable = true, isKept = true} = {},
 	): void {
 		const slot: UsableSlot = {
 			executor,
 			isUsable: () => isUsable,
-			keep: () => keeps,
+			keep: () => isKept,
 			release(outcome) {
 				released.push(outcome.result);
 			},
--- a/packages/jobs/src/owner.test.ts
+++ b/packages/jobs/src/owner.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
-import {buildOwner, done} from './owner.fixture.js';
+import {buildOwner, doneOutcome} from './owner.fixture.js';
 
 test('a job returns its results in task order, whatever the order of the responses', () => {
 	const {submit, grant, sent} = buildOwner();
 	const record = submit();
-	grant(record, {keeps: false});
-	grant(record, {keeps: false});
-	sent[1]!.end({...done, value: 'second'});
-	sent[0]!.end({...done, value: 'first'});
+	grant(record, {isKept: false});
+	grant(record, {isKept: false});
+	sent[1]!.end({...doneOutcome, value: 'second'});
+	sent[0]!.end({...doneOutcome, value: 'first'});
 	const answer = record.readReply()._unsafeUnwrap();
 	assert.equal(answer.state, 'complete');
 	assert.deepEqual(answer.results, ['first', 'second']);
@@ -18,9 +18,9 @@
 	const {submit, grant, sent, released} = buildOwner();
 	const record = submit();
 	grant(record);
-	sent[0]!.end(done);
+	sent[0]!.end(doneOutcome);
 	assert.equal(sent.length, 2);
-	sent[1]!.end(done);
+	sent[1]!.end(doneOutcome);
 	assert.deepEqual(released, ['done']);
 	assert.equal(record.state, 'complete');
 });
@@ -31,7 +31,7 @@
 	const {submit, grant, sent} = buildOwner();
 	const record = submit({tasks: ['a']});
 	grant(record);
-	sent[0]!.end(done);
+	sent[0]!.end(doneOutcome);
 	assert.equal(submit({tasks: ['a']}), record);
 	assert.equal(sent.length, 1);
 });
@@ -62,7 +62,7 @@
 	const problem = record.readReply()._unsafeUnwrapErr();
 	assert.deepEqual([problem.code, problem.ran], ['task-failed', 'some']);
 	assert.deepEqual(problem.tasksUnknown, [1]);
-	sent[1]!.end(done);
+	sent[1]!.end(doneOutcome);
 	grant(record);
 	assert.equal(sent.length, 2);
 	assert.equal(record.readReply()._unsafeUnwrapErr(), problem);
@@ -92,7 +92,7 @@
 		sent[0]!.end(outcome);
 		assert.equal(demands.at(-1)!.queued, 1);
 		grant(record);
-		sent[1]!.end(done);
+		sent[1]!.end(doneOutcome);
 		assert.equal(record.state, 'complete');
 	});
 }
@@ -135,7 +135,7 @@
 	// A copy of a submission arrives minutes late, when the job's record has been dropped.
 	const {owner, clock, submit, grant, sent} = buildOwner();
 	grant(submit({tasks: ['a']}));
-	sent[0]!.end(done);
+	sent[0]!.end(doneOutcome);
 	clock.now = 2500;
 	const answer = owner.submitJob({
 		id: 'id-1',
@@ -166,7 +166,7 @@
 	owner.startStopping();
 	assert.equal(submit({id: 'id-2'}).problem?.code, 'stopping');
 	grant(record);
-	sent[0]!.end(done);
+	sent[0]!.end(doneOutcome);
 	assert.equal(record.state, 'complete');
 	assert.equal(owner.activeJobs, 0);
 });
@@ -185,6 +185,6 @@
 	assert.deepEqual([limitMs, deadlineMs], [30_000, 1000]);
 	owner.abandonJobs();
 	assert.deepEqual(released, []);
-	sent[0]!.end(done);
+	sent[0]!.end(doneOutcome);
 	assert.deepEqual(released, ['done']);
 });
--- a/packages/jobs/src/owner.ts
+++ b/packages/jobs/src/owner.ts
@@ -21,7 +21,7 @@
 import {
 	judgeGeneration,
 	judgeSubmission,
-	type AdmissionView,
+	type HostState,
 	type OwnerLimits,
 } from './admission.js';
 import {type Generations} from './generations.js';
@@ -90,10 +90,10 @@
 		this.#table = new JobTable(options.limits.records);
 		this.#slots = options.createSlotSource({
 			onSlot: (job, slot) => {
-				this.#useSlot(this.#table.findNumber(job), slot);
+				this.#useSlot(this.#table.findByNumber(job), slot);
 			},
 			onRefusal: (job, refusal) => {
-				this.#refuseByKeeper(this.#table.findNumber(job), refusal);
+				this.#handleRefusal(this.#table.findByNumber(job), refusal);
 			},
 		});
 	}
@@ -112,13 +112,16 @@
 		this.#isStopping = true;
 	}
 
-	/** Accepts a job, or returns the one already known under the same id, or refuses. A refusal is either a record in state `refused` or a problem. */
+	/**
+	Accepts a job, or returns the one already known under the same id, or refuses. A refusal is
+	either a record in state `refused` or a problem.
+	*/
 	submitJob(request: OwnedSubmission): JobRecord | Problem {
 		this.#table.dropExpired(
 			(generation) =>
 				this.#options.generations.checkGeneration(generation) === 'expired',
 		);
-		const known = this.#table.findId(request.id);
+		const known = this.#table.findById(request.id);
 		if (known) {
 			const joined = this.#join(known, request);
 			if (joined) {
@@ -128,35 +131,35 @@
 
 		const record = this.#createRecord(request);
 		const {generations} = this.#options;
-		const unusable = judgeGeneration(
+		const generationProblem = judgeGeneration(
 			request.id,
 			generations.checkGeneration(request.generation),
 		);
-		if (unusable) {
-			return unusable;
+		if (generationProblem) {
+			return generationProblem;
 		}
 
-		const problem = judgeSubmission(record, this.#viewAdmission(record));
+		const problem = judgeSubmission(record, this.#getHostState(record));
 		this.#table.add(record, request.generation);
 		if (problem) {
 			record.fail('refused', problem);
-			this.#end(record);
+			this.#endJob(record);
 			return record;
 		}
 
 		this.#options.events.onJobStart(record, request.traceparent);
-		this.#setDeadline(record);
-		this.#demand(record);
+		this.#startDeadlineTimer(record);
+		this.#updateDemand(record);
 		return record;
 	}
 
 	findJob(id: string): JobRecord | undefined {
-		return this.#table.findId(id);
+		return this.#table.findById(id);
 	}
 
 	/** Ends a job at its caller's request; no further task of it starts. */
 	cancelJob(record: JobRecord): JobReply {
-		this.#fail(
+		this.#failJob(
 			record,
 			'cancelled',
 			'cancelled',
@@ -168,7 +171,7 @@
 	/** Ends all active jobs, when the time limit of a planned stop has passed. */
 	abandonJobs(): void {
 		for (const record of this.#table.listActive()) {
-			this.#fail(
+			this.#failJob(
 				record,
 				'failed',
 				'stopping',
@@ -195,8 +198,8 @@
 			return known;
 		}
 
-		const probe = this.#createRecord(request);
-		if (probe.bodyHash === known.bodyHash) {
+		const resubmission = this.#createRecord(request);
+		if (resubmission.bodyHash === known.bodyHash) {
 			return known;
 		}
 
@@ -223,7 +226,7 @@
 	}
 
 	/** This host's state for `judgeSubmission`. */
-	#viewAdmission({submission}: JobRecord): AdmissionView {
+	#getHostState({submission}: JobRecord): HostState {
 		const {findService, hasTeam, canServe, limits} = this.#options;
 		const service = findService(submission.service);
 		return {
@@ -237,10 +240,10 @@
 		};
 	}
 
-	#setDeadline(record: JobRecord): void {
+	#startDeadlineTimer(record: JobRecord): void {
 		const timer = setTimeout(
 			() => {
-				this.#fail(
+				this.#failJob(
 					record,
 					'failed',
 					'deadline',
@@ -254,7 +257,7 @@
 		});
 	}
 
-	#demand(record: JobRecord): void {
+	#updateDemand(record: JobRecord): void {
 		const service = this.#options.findService(record.submission.service);
 		if (!service || record.isFinal) {
 			return;
@@ -265,8 +268,8 @@
 			target: service.target,
 			service: record.submission.service,
 			team: record.submission.team,
-			remaining: record.remaining,
-			queued: record.queued,
+			remaining: record.remainingTasks,
+			queued: record.queuedTasks,
 			taskMs: this.#options.estimateTaskMs(
 				record.submission.service,
 				service.taskMs,
@@ -286,7 +289,7 @@
 
 		if (!slot.isUsable()) {
 			slot.release(unused);
-			this.#demand(record);
+			this.#updateDemand(record);
 			return;
 		}
 
@@ -295,11 +298,14 @@
 		}
 	}
 
-	/** Starts the job's next task on the slot; returns false if no task is queued or the deadline has passed. */
+	/**
+	Starts the job's next task on the slot; returns false if no task is queued or the deadline has
+	passed.
+	*/
 	#startTask(record: JobRecord, slot: UsableSlot): boolean {
 		const service = this.#options.findService(record.submission.service);
-		const leftMs = record.deadlineAt - this.#options.now();
-		if (!service || leftMs <= 0) {
+		const remainingMs = record.deadlineAt - this.#options.now();
+		if (!service || remainingMs <= 0) {
 			return false;
 		}
 
@@ -308,7 +314,7 @@
 			return false;
 		}
 
-		if (record.queued === 0) {
+		if (record.queuedTasks === 0) {
 			this.#slots.withdrawDemand(record.number);
 		}
 
@@ -317,9 +323,10 @@
 			taskId: `${record.id}/${task.index}`,
 			path: service.path,
 			payload: task.payload,
-			// Not cut to the job's deadline: the executor may still run the task then, and its slot is in use until it answers.
+			// Not cut to the job's deadline: the executor may still run the task then, and its slot is
+			// in use until it answers.
 			limitMs: service.taskLimitMs,
-			deadlineMs: Math.min(service.taskLimitMs, leftMs),
+			deadlineMs: Math.min(service.taskLimitMs, remainingMs),
 			traceparent: span.traceparent,
 			isUsable: slot.isUsable,
 		};
@@ -344,11 +351,11 @@
 		this.#settleTask(record, index, outcome);
 		if (
 			!record.isFinal &&
-			record.queued > 0 &&
+			record.queuedTasks > 0 &&
 			outcome.result === 'done' &&
 			slot.keep(slotOutcome, {
-				remaining: record.remaining,
-				queued: record.queued,
+				remaining: record.remainingTasks,
+				queued: record.queuedTasks,
 			})
 		) {
 			if (slot.isUsable() && this.#startTask(record, slot)) {
@@ -360,8 +367,8 @@
 			slot.release(slotOutcome);
 		}
 
-		if (!record.isFinal && record.queued > 0) {
-			this.#demand(record);
+		if (!record.isFinal && record.queuedTasks > 0) {
+			this.#updateDemand(record);
 		}
 	}
 
@@ -371,7 +378,7 @@
 				this.#options.learnRunMs(record.submission.service, outcome.runMs);
 				record.completeTask(index, outcome.value);
 				if (record.state === 'complete') {
-					this.#end(record);
+					this.#endJob(record);
 				}
 
 				break;
@@ -386,7 +393,7 @@
 
 			case 'failed': {
 				record.markTask(index, 'failed');
-				this.#fail(
+				this.#failJob(
 					record,
 					'failed',
 					'task-failed',
@@ -397,7 +404,7 @@
 
 			case 'unknown': {
 				record.markTask(index, 'unknown');
-				this.#fail(
+				this.#failJob(
 					record,
 					'failed',
 					'task-unknown',
@@ -413,7 +420,7 @@
 	failed so is recorded as refused: a delayed copy of the submission then can't start it and make
 	that answer false.
 	*/
-	#fail(
+	#failJob(
 		record: JobRecord,
 		state: 'failed' | 'cancelled',
 		code: ProblemCode,
@@ -441,10 +448,10 @@
 						}),
 			}),
 		);
-		this.#end(record);
+		this.#endJob(record);
 	}
 
-	#refuseByKeeper(record: JobRecord | undefined, refusal: SlotRefusal): void {
+	#handleRefusal(record: JobRecord | undefined, refusal: SlotRefusal): void {
 		if (!record || record.isFinal || record.startedTasks > 0) {
 			return;
 		}
@@ -459,10 +466,10 @@
 			},
 		);
 		record.fail('refused', problem);
-		this.#end(record);
+		this.#endJob(record);
 	}
 
-	#end(record: JobRecord): void {
+	#endJob(record: JobRecord): void {
 		this.#slots.withdrawDemand(record.number);
 		this.#table.retire(record);
 		this.#options.events.onJobEnd(record);
--- a/packages/jobs/src/problems.ts
+++ b/packages/jobs/src/problems.ts
@@ -26,9 +26,9 @@
 	| 'platform-down'
 	| 'answer-dropped';
 
-type Shape = {status: number; title: string};
+type ProblemKind = {status: number; title: string};
 
-const shapes: Record<ProblemCode, Shape> = {
+const problemKinds: Record<ProblemCode, ProblemKind> = {
 	'malformed-id': {status: 400, title: 'The id is malformed'},
 	'id-required': {
 		status: 428,
@@ -56,7 +56,7 @@
 	'answer-dropped': {status: 410, title: 'The answer is no longer kept'},
 };
 
-export type ProblemMore = Partial<
+export type ProblemFields = Partial<
 	Pick<Problem, 'id' | 'retryAfterMs' | 'tasksDone' | 'tasksUnknown' | 'issuer'>
 >;
 
@@ -64,8 +64,8 @@
 	code: ProblemCode,
 	ran: Ran,
 	detail: string,
-	more: ProblemMore = {},
+	fields: ProblemFields = {},
 ): Problem {
-	const {status, title} = shapes[code];
-	return {type: 'about:blank', title, status, detail, code, ran, ...more};
+	const {status, title} = problemKinds[code];
+	return {type: 'about:blank', title, status, detail, code, ran, ...fields};
 }
--- a/packages/jobs/src/router.ts
+++ b/packages/jobs/src/router.ts
@@ -1,5 +1,6 @@
 /**
-Handles callers' requests on any host: serves jobs that this host owns, forwards others to their owner.
+Handles callers' requests on any host: serves jobs that this host owns, and forwards requests for
+other jobs to their owner.
 */
 import {err, ok, type Result} from 'neverthrow';
 import {type Link, type MessageOf, type Session} from '@gentianshift/protocol';
@@ -15,7 +16,7 @@
 	type ServiceSpec,
 	type Submission,
 } from '@gentianshift/resources';
-import {createUnreachable, Forwards, type Forward} from './forwards.js';
+import {createOwnerUnreachable, Forwards, type Forward} from './forwards.js';
 import {type Generations} from './generations.js';
 import {JobRecord} from './job-record.js';
 import {type NameRegister} from './name-register.js';
@@ -23,7 +24,7 @@
 import {createProblem} from './problems.js';
 
 /** Trace span of a request on this host. */
-export type HopSpan = {
+export type RequestSpan = {
 	/** Trace context to pass on with the request. */
 	traceparent: string;
 	end: (error?: string) => void;
@@ -36,7 +37,7 @@
 	findService: (name: string) => ServiceSpec | undefined;
 	findLink: (hostKey: string) => Link | undefined;
 	/** Starts a span under the given trace context, or a new trace if there is none. */
-	startSpan: (name: string, traceparent?: string) => HopSpan;
+	startSpan: (name: string, traceparent?: string) => RequestSpan;
 	/** Returns 16 hexadecimal digits from a cryptographically secure source. */
 	createRandom: () => string;
 };
@@ -49,7 +50,7 @@
 	traceparent?: string;
 };
 
-type Asked = {
+type JobRequest = {
 	id: string;
 	operation: 'query' | 'cancel';
 	waitMs: number;
@@ -84,7 +85,7 @@
 
 		const span = this.#options.startSpan('caller request', request.traceparent);
 		const {traceparent} = span;
-		const reply = await this.#submit(parsed.value, {
+		const reply = await this.#handleSubmission(parsed.value, {
 			...request,
 			id: id.value,
 			traceparent,
@@ -98,17 +99,20 @@
 		waitMs: number;
 		traceparent?: string;
 	}): Promise<JobReply> {
-		return this.#ask({...request, operation: 'query'});
+		return this.#handleRequest({...request, operation: 'query'});
 	}
 
 	async cancelJob(request: {
 		id: string;
 		traceparent?: string;
 	}): Promise<JobReply> {
-		return this.#ask({...request, operation: 'cancel', waitMs: 0});
+		return this.#handleRequest({...request, operation: 'cancel', waitMs: 0});
 	}
 
-	/** Yields the job's state whenever its number of done tasks has changed; ends with the final answer or a problem. */
+	/**
+	Yields the job's state whenever its number of done tasks has changed; ends with the final
+	answer or a problem.
+	*/
 	async *watchJob({
 		id,
 		signal,
@@ -152,7 +156,7 @@
 	}
 
 	dropLink(key: string): void {
-		this.#forwards.dropLink(key);
+		this.#forwards.handleLinkDown(key);
 	}
 
 	/**
@@ -185,7 +189,7 @@
 		);
 	}
 
-	async #submit(
+	async #handleSubmission(
 		id: JobId,
 		request: CallerSubmission & {id: string},
 	): Promise<JobReply> {
@@ -212,7 +216,7 @@
 	): Promise<JobReply> {
 		const record = this.#options.owner.submitJob({...request, generation});
 		return record instanceof JobRecord
-			? record.waitReply(request.waitMs)
+			? record.waitForReply(request.waitMs)
 			: err(record);
 	}
 
@@ -228,10 +232,10 @@
 				});
 	}
 
-	async #ask(request: Asked): Promise<JobReply> {
+	async #handleRequest(request: JobRequest): Promise<JobReply> {
 		const known = this.#options.owner.findJob(request.id);
 		if (known) {
-			return this.#answerKnown(known, request);
+			return this.#answerOwned(known, request);
 		}
 
 		const parsed = parseId(request.id);
@@ -253,10 +257,13 @@
 			: this.#forward(owner.value, {...request, attempt: 1});
 	}
 
-	async #answerKnown(record: JobRecord, request: Asked): Promise<JobReply> {
+	async #answerOwned(
+		record: JobRecord,
+		request: JobRequest,
+	): Promise<JobReply> {
 		return request.operation === 'cancel'
 			? this.#options.owner.cancelJob(record)
-			: record.waitReply(request.waitMs);
+			: record.waitForReply(request.waitMs);
 	}
 
 	async #answerForward(message: MessageOf<'forward'>): Promise<JobReply> {
@@ -264,7 +271,7 @@
 		if (operation !== 'submit') {
 			const known = this.#options.owner.findJob(message.id);
 			return known
-				? this.#answerKnown(known, {...message, operation})
+				? this.#answerOwned(known, {...message, operation})
 				: err(createNotFound(message.id));
 		}
 
@@ -285,13 +292,13 @@
 		const owner = await this.#findOwner(parsed.value, {...message, submission});
 		return owner.isOk() && this.#isSelf(owner.value)
 			? this.#submitHere({...message, submission}, owner.value.generation)
-			: err(createUnreachable(message.id));
+			: err(createOwnerUnreachable(message.id));
 	}
 
 	async #forward(owner: Issuer, forward: Forward): Promise<JobReply> {
 		const link = this.#options.findLink(`${owner.dataCentre}_${owner.host}`);
 		if (!link) {
-			return err(createUnreachable(forward.id));
+			return err(createOwnerUnreachable(forward.id));
 		}
 
 		if (link.hello.incarnation !== owner.incarnation) {
@@ -352,6 +359,6 @@
 	}
 }
 
-function endSpan(span: HopSpan, reply: JobReply): void {
+function endSpan(span: RequestSpan, reply: JobReply): void {
 	span.end(reply.isErr() ? reply.error.code : undefined);
 }
--- a/packages/jobs/src/slot-source.ts
+++ b/packages/jobs/src/slot-source.ts
@@ -32,6 +32,7 @@
 	remaining: number;
 	/** Tasks that wait for a slot. */
 	queued: number;
+	/** Expected run time of one task, milliseconds. */
 	taskMs: number;
 	/** Whether a task of the job was started; such a job can no longer be refused. */
 	hasStarted: boolean;
