--- a/packages/executors/src/executor-pool.test.ts
+++ b/packages/executors/src/executor-pool.test.ts
@@ -6,8 +6,8 @@
 import {ExecutorPool} from './executor-pool.js';
 import {type TaskOutcome, type TaskRequest} from './outcome.js';
 
-/** An executor that counts the tasks that reach it, and a pool of connections to it. */
-async function openPool(context: TestContext, share: number) {
+/** Starts an executor that records the ids of the tasks it receives, and a connection pool to it. */
+async function openPool(context: TestContext, maxIdleConnections: number) {
 	const taskIds: unknown[] = [];
 	const server = createServer((request, response) => {
 		taskIds.push(request.headers['gentianshift-task']);
@@ -18,7 +18,7 @@
 	const {port} = server.address() as AddressInfo;
 	const pool = new ExecutorPool({
 		address: `127.0.0.1:${port}`,
-		share,
+		maxIdleConnections,
 		slots: 8,
 	});
 	context.after(async () => {
@@ -43,13 +43,14 @@
 	return {taskIds, sendTask};
 }
 
-for (const [kind, share] of [
-	['kept', 1],
+for (const [kind, maxIdleConnections] of [
+	['kept open', 1],
 	['closed after each request', 0],
 ] as const) {
-	// Guards against a host that wakes from a freeze and sends, on a connection that is made only now, a task to an executor that has been told to leave.
-	test(`a request that waited for a connection (${kind}) is not written once its slot can't be used`, async (context) => {
-		const {taskIds, sendTask} = await openPool(context, share);
+	// A host resumes after a pause and opens a connection only then. Meanwhile the executor may have been
+	// asked to leave, so the task that waited for the connection must not be sent to it.
+	test(`a request that waited for a connection (${kind}) is not written after its slot has become unusable`, async (context) => {
+		const {taskIds, sendTask} = await openPool(context, maxIdleConnections);
 		let isUsable = true;
 		const withheld = sendTask({isUsable: () => isUsable});
 		isUsable = false;
--- a/packages/jobs/src/forwards.ts
+++ b/packages/jobs/src/forwards.ts
@@ -1,9 +1,9 @@
 /**
-Requests handed to other hosts, waiting for their answers.
+Requests forwarded to the host that owns the job, and still waiting for its answer.
 
-What goes wrong: the owner dies, freezes or is cut off while a caller waits. Noticed when the
-link to it goes down (by close, or by the heartbeat's silence). All that waits on that link is
-answered then, at once, with "unknown": the owner may have started the job.
+The owner may crash, hang or become unreachable while a caller waits. Its link then goes down,
+because it was closed or because heartbeats stopped. All requests that wait on that link are
+answered at once with `ran: 'unknown'`, since the owner may have started the job.
 */
 import {err, ok} from 'neverthrow';
 import {type Link, type MessageOf} from '@gentianshift/protocol';
@@ -12,20 +12,20 @@
 
 export type Forward = Omit<MessageOf<'forward'>, 't' | 'request'>;
 
-type Pending = {
+type PendingForward = {
 	linkKey: string;
 	id: string;
 	resolve: (reply: JobReply) => void;
 };
 
 export class Forwards {
-	readonly #pending = new Map<number, Pending>();
-	#last = 0;
+	readonly #pending = new Map<number, PendingForward>();
+	#lastRequest = 0;
 
-	/** Sends to the owner; resolves with its answer or when the link goes down. */
+	/** Forwards a request to the owner; resolves with its answer, or with a problem when the link goes down. */
 	async sendForward(link: Link, forward: Forward): Promise<JobReply> {
-		this.#last += 1;
-		const request = this.#last;
+		this.#lastRequest += 1;
+		const request = this.#lastRequest;
 		const reply = new Promise<JobReply>((resolve) => {
 			this.#pending.set(request, {linkKey: link.key, id: forward.id, resolve});
 		});
@@ -43,23 +43,28 @@
 		if (message.answer) {
 			pending.resolve(ok(message.answer));
 		} else {
-			pending.resolve(err(message.problem ?? createUnreachable(pending.id)));
+			pending.resolve(
+				err(message.problem ?? createOwnerUnreachable(pending.id)),
+			);
 		}
 	}
 
-	/** Answers all that waited on this link. */
-	dropLink(key: string): void {
+	/** Answers all requests that wait on this link with `owner-unreachable`. */
+	handleLinkDown(key: string): void {
 		for (const [request, pending] of this.#pending) {
 			if (pending.linkKey === key) {
 				this.#pending.delete(request);
-				pending.resolve(err(createUnreachable(pending.id)));
+				pending.resolve(err(createOwnerUnreachable(pending.id)));
 			}
 		}
 	}
 }
 
-/** The caller may ask again later; only the owner knows what ran. */
-export function createUnreachable(id: string) {
+/**
+The problem for a caller whose job's owner can't be reached. Only the owner knows what ran, so
+the caller may query again later.
+*/
+export function createOwnerUnreachable(id: string) {
 	return createProblem(
 		'owner-unreachable',
 		'unknown',
--- a/packages/jobs/src/job-record.ts
+++ b/packages/jobs/src/job-record.ts
@@ -1,5 +1,5 @@
 /**
-What the owner keeps of one job, and its transitions. No input or output here.
+The state of one job at its owner, and its transitions. Performs no I/O.
 */
 import {createHash} from 'node:crypto';
 import {err, ok} from 'neverthrow';
@@ -13,7 +13,7 @@
 } from '@gentianshift/resources';
 import {createProblem} from './problems.js';
 
-/** What is known of each task. */
+/** States of a task, as stored in `JobRecord.states`. */
 export const taskStates = {
 	queued: 0,
 	started: 1,
@@ -22,10 +22,10 @@
 	unknown: 4,
 } as const;
 
-export type JobStart = {
+export type JobRecordOptions = {
 	id: string;
 	attempt: number;
-	/** The owner's own number of this job. */
+	/** Number of the job, unique within its owner's process. */
 	number: number;
 	submission: Submission;
 	/** Monotonic milliseconds. */
@@ -41,10 +41,10 @@
 	readonly submittedAt: number;
 	readonly deadlineAt: number;
 	state: JobState = 'queued';
-	done = 0;
-	/** Tasks whose request is under way. */
-	inFlight = 0;
-	/** Tasks that were sent at least once and not answered "not run". */
+	doneTasks = 0;
+	/** Tasks whose request to an executor is in progress. */
+	tasksInFlight = 0;
+	/** Tasks that were sent to an executor, without those that certainly did not run. */
 	startedTasks = 0;
 	problem: Problem | undefined;
 	readonly taskCount: number;
@@ -53,17 +53,17 @@
 	#payloads: string[];
 	#results: unknown[];
 	#queue: number[];
-	readonly #waiters = new Set<() => void>();
-	#isDropped = false;
+	readonly #endListeners = new Set<() => void>();
+	#isAnswerDropped = false;
 
-	constructor(start: JobStart) {
-		const {tasks, ...submission} = start.submission;
-		this.id = start.id;
-		this.attempt = start.attempt;
-		this.number = start.number;
+	constructor(options: JobRecordOptions) {
+		const {tasks, ...submission} = options.submission;
+		this.id = options.id;
+		this.attempt = options.attempt;
+		this.number = options.number;
 		this.submission = submission;
-		this.submittedAt = start.submittedAt;
-		this.deadlineAt = start.deadlineAt;
+		this.submittedAt = options.submittedAt;
+		this.deadlineAt = options.deadlineAt;
 		this.taskCount = tasks.length;
 		this.#payloads = tasks.map((task) => JSON.stringify(task));
 		this.bodyHash = hashBody(submission, this.#payloads);
@@ -79,26 +79,26 @@
 		return this.state !== 'queued' && this.state !== 'running';
 	}
 
-	get queued(): number {
+	get queuedTasks(): number {
 		return this.#queue.length;
 	}
 
-	get remaining(): number {
-		return this.taskCount - this.done;
+	get remainingTasks(): number {
+		return this.taskCount - this.doneTasks;
 	}
 
-	/** Whether anything of the job ran, as the owner knows it now. */
+	/** Whether any task of the job ran, as far as the owner knows. */
 	get ran(): Ran {
 		if (this.startedTasks === 0) {
 			return 'none';
 		}
 
-		return this.done > 0 || this.states.includes(taskStates.failed)
+		return this.doneTasks > 0 || this.states.includes(taskStates.failed)
 			? 'some'
 			: 'unknown';
 	}
 
-	/** The next task to start, marked as started; undefined when none waits. */
+	/** Removes the next task from the queue and marks it as started; undefined if the queue is empty. */
 	takeTask(): {index: number; payload: string} | undefined {
 		const index = this.#queue.pop();
 		if (index === undefined) {
@@ -107,14 +107,14 @@
 
 		this.states[index] = taskStates.started;
 		this.state = 'running';
-		this.inFlight += 1;
+		this.tasksInFlight += 1;
 		this.startedTasks += 1;
 		return {index, payload: this.#payloads[index]!};
 	}
 
-	/** A task certainly did not run: it waits again. */
+	/** Returns a task to the queue; only for tasks that certainly did not run. */
 	requeueTask(index: number): void {
-		this.inFlight -= 1;
+		this.tasksInFlight -= 1;
 		this.startedTasks -= 1;
 		this.states[index] = taskStates.queued;
 		if (!this.isFinal) {
@@ -122,29 +122,29 @@
 		}
 	}
 
-	/** Stores a result; completes the job with its last one. */
+	/** Stores the result of a task; the last result completes the job. */
 	completeTask(index: number, value: unknown): void {
-		this.inFlight -= 1;
+		this.tasksInFlight -= 1;
 		this.states[index] = taskStates.done;
 		if (this.isFinal) {
 			return;
 		}
 
 		this.#results[index] = value;
-		this.done += 1;
-		if (this.done === this.taskCount) {
+		this.doneTasks += 1;
+		if (this.doneTasks === this.taskCount) {
 			this.state = 'complete';
 			this.#end();
 		}
 	}
 
-	/** A task failed, or may have run without a whole answer. */
+	/** Marks a task as failed, or as unknown: it may have run, but no complete response arrived. */
 	markTask(index: number, state: 'failed' | 'unknown'): void {
-		this.inFlight -= 1;
+		this.tasksInFlight -= 1;
 		this.states[index] = taskStates[state];
 	}
 
-	/** Ends the job without an answer; nothing more of it starts. */
+	/** Ends the job with a problem; no further task of it starts. */
 	fail(state: 'failed' | 'cancelled' | 'refused', problem: Problem): void {
 		if (this.isFinal) {
 			return;
@@ -164,12 +164,12 @@
 	}
 
 	readReply(): JobReply {
-		if (this.#isDropped) {
+		if (this.#isAnswerDropped) {
 			return err(
 				createProblem(
 					'answer-dropped',
 					'some',
-					'the job completed; its answer is no longer kept',
+					'the job completed, but its results are no longer stored',
 					{id: this.id},
 				),
 			);
@@ -178,38 +178,38 @@
 		return this.problem ? err(this.problem) : ok(this.#readAnswer());
 	}
 
-	/** Calls back at the job's end. */
+	/** Calls the listener when the job ends; never, if it has already ended. */
 	onEnd(listener: () => void): void {
-		this.#waiters.add(listener);
+		this.#endListeners.add(listener);
 	}
 
-	/** Lets go of a whole answer; those who ask later are told so. */
+	/** Discards the results of a completed job; later replies are the problem `answer-dropped`. */
 	dropAnswer(): void {
 		if (this.state === 'complete') {
-			this.#isDropped = true;
+			this.#isAnswerDropped = true;
 			this.#results = [];
 		}
 	}
 
-	/** Resolves at the job's end, or after `waitMs`, with the state then. */
-	async waitReply(waitMs: number): Promise<JobReply> {
+	/** Resolves when the job ends, or after `waitMs`, with the job's state at that time. */
+	async waitForReply(waitMs: number): Promise<JobReply> {
 		if (!this.isFinal && waitMs > 0) {
-			await this.#wait(waitMs);
+			await this.#waitForEnd(waitMs);
 		}
 
 		return this.readReply();
 	}
 
-	async #wait(waitMs: number): Promise<void> {
+	async #waitForEnd(waitMs: number): Promise<void> {
 		await new Promise<void>((resolve) => {
 			const end = () => {
 				clearTimeout(timer);
-				this.#waiters.delete(end);
+				this.#endListeners.delete(end);
 				resolve();
 			};
 
 			const timer = setTimeout(end, waitMs);
-			this.#waiters.add(end);
+			this.#endListeners.add(end);
 		});
 	}
 
@@ -218,7 +218,7 @@
 			id: this.id,
 			state: this.state,
 			tasks: this.taskCount,
-			done: this.done,
+			done: this.doneTasks,
 		};
 		return this.state === 'complete'
 			? {...answer, results: this.#results}
@@ -228,14 +228,14 @@
 	#end(): void {
 		this.#payloads = [];
 		this.#queue = [];
-		const waiters = [...this.#waiters];
-		for (const end of waiters) {
+		const listeners = [...this.#endListeners];
+		for (const end of listeners) {
 			end();
 		}
 	}
 }
 
-/** Tells a resubmission of the same job from another job under the same id. */
+/** Hash of a submission, to distinguish a resubmission from another job under the same id. */
 export function hashBody(
 	submission: Omit<Submission, 'tasks'>,
 	payloads: readonly string[],
--- a/packages/jobs/src/job-table.ts
+++ b/packages/jobs/src/job-table.ts
@@ -1,5 +1,5 @@
 /**
-Records of this incarnation's jobs, by id and by number, dropped a generation at a time.
+Job records of this process, by id and by number. They are dropped by generation of their ids.
 */
 import {type JobRecord} from './job-record.js';
 
@@ -7,15 +7,15 @@
 	readonly #byId = new Map<string, JobRecord>();
 	readonly #byNumber = new Map<number, JobRecord>();
 	readonly #byGeneration = new Map<number, string[]>();
-	/** In the order of their end. */
+	/** Ended jobs whose answers are kept, in the order in which they ended. */
 	readonly #ended = new Set<JobRecord>();
 	#lastNumber = 0;
 
-	readonly #maxEnded: number;
+	readonly #maxKeptAnswers: number;
 
-	/** `maxEnded`: whole answers kept for those who ask again. */
-	constructor(maxEnded: number) {
-		this.#maxEnded = maxEnded;
+	/** `maxKeptAnswers`: number of ended jobs whose answers are kept for repeated requests. */
+	constructor(maxKeptAnswers: number) {
+		this.#maxKeptAnswers = maxKeptAnswers;
 	}
 
 	/** Jobs not yet ended. */
@@ -23,11 +23,11 @@
 		return this.#byNumber.size;
 	}
 
-	/** Counted anew: there are as many as there are active jobs. */
+	/** Summed over all active jobs on each read, so its cost grows with their number. */
 	get queuedTasks(): number {
 		let sum = 0;
 		for (const record of this.#byNumber.values()) {
-			sum += record.queued;
+			sum += record.queuedTasks;
 		}
 
 		return sum;
@@ -46,11 +46,11 @@
 		this.#byGeneration.set(generation, ids);
 	}
 
-	findId(id: string): JobRecord | undefined {
+	findById(id: string): JobRecord | undefined {
 		return this.#byId.get(id);
 	}
 
-	findNumber(number: number): JobRecord | undefined {
+	findByNumber(number: number): JobRecord | undefined {
 		return this.#byNumber.get(number);
 	}
 
@@ -59,8 +59,9 @@
 	}
 
 	/**
-	The job ended. Its record stays until its generation can start nothing more; its answer is
-	dropped sooner when there are too many, and whoever asks then is told so.
+	Moves a job to the ended ones. Its record stays until its generation has expired. When more than
+	`maxKeptAnswers` jobs have ended, the oldest answer is dropped; requests for it then get the
+	problem `answer-dropped`.
 	*/
 	retire(record: JobRecord): void {
 		if (!this.#byNumber.delete(record.number)) {
@@ -68,14 +69,14 @@
 		}
 
 		this.#ended.add(record);
-		if (this.#ended.size > this.#maxEnded) {
+		if (this.#ended.size > this.#maxKeptAnswers) {
 			const [oldest] = this.#ended;
 			this.#ended.delete(oldest!);
 			oldest!.dropAnswer();
 		}
 	}
 
-	/** Drops ended records of generations under which nothing can start any more. */
+	/** Drops the records of ended jobs whose generation has expired. */
 	dropExpired(isExpired: (generation: number) => boolean): void {
 		for (const [generation, ids] of this.#byGeneration) {
 			if (isExpired(generation)) {
--- a/packages/jobs/src/owner.fixture.ts
+++ b/packages/jobs/src/owner.fixture.ts
@@ -1,5 +1,5 @@
 /**
-An owner with everything around it replaced by functions that a test drives by hand.
+An `Owner` whose dependencies are replaced by functions that a test controls.
 */
 import {type TaskOutcome, type TaskRequest} from '@gentianshift/executors';
 import {
@@ -30,7 +30,7 @@
 	state: 'active',
 };
 
-export const done = {
+export const doneOutcome = {
 	result: 'done',
 	value: 'soup',
 	runMs: 5,
@@ -60,13 +60,13 @@
 		canServe: (target) => target === 'kitchens',
 		estimateTaskMs: (_service, declaredMs) => declaredMs,
 		learnRunMs() {
-			// Not of interest here.
+			// Not tested here.
 		},
 		sendTask(_executor, request, onEnd) {
 			sent.push({request, end: onEnd});
 		},
-		createSlotSource(given) {
-			handlers = given;
+		createSlotSource(givenHandlers) {
+			handlers = givenHandlers;
 			return {
 				demandSlots(demand) {
 					demands.push(demand);
@@ -79,25 +79,25 @@
 		events: {
 			onTaskStart: () => ({
 				end() {
-					// Not of interest here.
+					// Not tested here.
 				},
 			}),
 			onJobStart() {
-				// Not of interest here.
+				// Not tested here.
 			},
 			onJobEnd() {
-				// Not of interest here.
+				// Not tested here.
 			},
 			onLateAnswer() {
-				// Not of interest here.
+				// Not tested here.
 			},
 		},
 	});
 
 	function submit(
-		change: Partial<OwnedSubmission> & {tasks?: unknown[]} = {},
+		changes: Partial<OwnedSubmission> & {tasks?: unknown[]} = {},
 	): JobRecord {
-		const {tasks = ['a', 'b'], ...rest} = change;
+		const {tasks = ['a', 'b'], ...rest} = changes;
 		const record = owner.submitJob({
 			id: 'id-1',
 			attempt: 1,
@@ -112,15 +112,18 @@
 		return record;
 	}
 
-	/** Grants a slot; `isUsable` and `keeps` are what the lease and the keeper would say. */
+	/**
+	Grants a slot; `isUsable` stands for the state of its lease, `isKept` for the keeper's reply
+	after a task.
+	*/
 	function grant(
 		record: JobRecord,
-		{isUsable = true, keeps = true} = {},
+		{isUsable = true, isKept = true} = {},
 	): void {
 		const slot: UsableSlot = {
 			executor,
 			isUsable: () => isUsable,
-			keep: () => keeps,
+			keep: () => isKept,
 			release(outcome) {
 				released.push(outcome.result);
 			},
--- a/packages/jobs/src/problems.ts
+++ b/packages/jobs/src/problems.ts
@@ -1,7 +1,7 @@
 /**
-The refusals and failures this host can answer, each with what is true of the job: nothing ran,
-something ran, or it can't be known. Every maker that says "none" is listed in
-docs/REFUSALS.md with why that is true.
+Refusals and failures that this host answers. Each says whether any task of the job ran: `none`,
+`some` or `unknown`. Every place that creates a problem with `none` is listed in docs/REFUSALS.md,
+with the reason why no task can have run.
 */
 import {type Problem, type Ran} from '@gentianshift/resources';
 
@@ -26,9 +26,9 @@
 	| 'platform-down'
 	| 'answer-dropped';
 
-type Shape = {status: number; title: string};
+type ProblemKind = {status: number; title: string};
 
-const shapes: Record<ProblemCode, Shape> = {
+const problemKinds: Record<ProblemCode, ProblemKind> = {
 	'malformed-id': {status: 400, title: 'The id is malformed'},
 	'id-required': {
 		status: 428,
@@ -56,7 +56,7 @@
 	'answer-dropped': {status: 410, title: 'The answer is no longer kept'},
 };
 
-export type ProblemMore = Partial<
+export type ProblemFields = Partial<
 	Pick<Problem, 'id' | 'retryAfterMs' | 'tasksDone' | 'tasksUnknown' | 'issuer'>
 >;
 
@@ -64,8 +64,8 @@
 	code: ProblemCode,
 	ran: Ran,
 	detail: string,
-	more: ProblemMore = {},
+	fields: ProblemFields = {},
 ): Problem {
-	const {status, title} = shapes[code];
-	return {type: 'about:blank', title, status, detail, code, ran, ...more};
+	const {status, title} = problemKinds[code];
+	return {type: 'about:blank', title, status, detail, code, ran, ...fields};
 }
--- a/packages/jobs/src/router.ts
+++ b/packages/jobs/src/router.ts
@@ -1,5 +1,6 @@
 /**
-Takes callers' requests at any host: runs what this host owns, hands the rest to the owner.
+Handles callers' requests on any host: serves jobs that this host owns, and forwards requests for
+other jobs to their owner.
 */
 import {err, ok, type Result} from 'neverthrow';
 import {type Link, type MessageOf, type Session} from '@gentianshift/protocol';
@@ -15,16 +16,16 @@
 	type ServiceSpec,
 	type Submission,
 } from '@gentianshift/resources';
-import {createUnreachable, Forwards, type Forward} from './forwards.js';
+import {createOwnerUnreachable, Forwards, type Forward} from './forwards.js';
 import {type Generations} from './generations.js';
 import {JobRecord} from './job-record.js';
 import {type NameRegister} from './name-register.js';
 import {type Owner} from './owner.js';
 import {createProblem} from './problems.js';
 
-/** One hop of a request, for its trace. */
-export type HopSpan = {
-	/** To send on. */
+/** Trace span of a request on this host. */
+export type RequestSpan = {
+	/** Trace context to pass on with the request. */
 	traceparent: string;
 	end: (error?: string) => void;
 };
@@ -35,9 +36,9 @@
 	names: NameRegister;
 	findService: (name: string) => ServiceSpec | undefined;
 	findLink: (hostKey: string) => Link | undefined;
-	/** A span under the caller's trace context, or a new trace. */
-	startSpan: (name: string, traceparent?: string) => HopSpan;
-	/** 16 hexadecimal digits from a cryptographic source. */
+	/** Starts a span under the given trace context, or a new trace if there is none. */
+	startSpan: (name: string, traceparent?: string) => RequestSpan;
+	/** Returns 16 hexadecimal digits from a cryptographically secure source. */
 	createRandom: () => string;
 };
 
@@ -49,15 +50,15 @@
 	traceparent?: string;
 };
 
-type Asked = {
+type JobRequest = {
 	id: string;
 	operation: 'query' | 'cancel';
 	waitMs: number;
 	traceparent?: string;
 };
 
-/** How often a watched job's state is read anew, milliseconds. */
-const watchMs = 250;
+/** Interval at which the state of a watched job is read. */
+const watchIntervalMs = 250;
 
 export class Router {
 	readonly #forwards = new Forwards();
@@ -84,7 +85,7 @@
 
 		const span = this.#options.startSpan('caller request', request.traceparent);
 		const {traceparent} = span;
-		const reply = await this.#submit(parsed.value, {
+		const reply = await this.#handleSubmission(parsed.value, {
 			...request,
 			id: id.value,
 			traceparent,
@@ -98,17 +99,20 @@
 		waitMs: number;
 		traceparent?: string;
 	}): Promise<JobReply> {
-		return this.#ask({...request, operation: 'query'});
+		return this.#handleRequest({...request, operation: 'query'});
 	}
 
 	async cancelJob(request: {
 		id: string;
 		traceparent?: string;
 	}): Promise<JobReply> {
-		return this.#ask({...request, operation: 'cancel', waitMs: 0});
+		return this.#handleRequest({...request, operation: 'cancel', waitMs: 0});
 	}
 
-	/** Yields the state whenever it has changed, the final answer or problem last. */
+	/**
+	Yields the job's state whenever its number of done tasks has changed; ends with the final
+	answer or a problem.
+	*/
 	async *watchJob({
 		id,
 		signal,
@@ -120,7 +124,7 @@
 		while (!signal.aborted) {
 			const reply = await this.queryJob({
 				id,
-				waitMs: lastDone < 0 ? 0 : watchMs,
+				waitMs: lastDone < 0 ? 0 : watchIntervalMs,
 			});
 			if (reply.isErr() || reply.value.state === 'complete') {
 				yield reply;
@@ -134,7 +138,7 @@
 		}
 	}
 
-	/** A request that another host forwarded here, this host being the owner. */
+	/** Answers a request that another host forwarded to this host as the owner of the job. */
 	async serveForward(
 		session: Session,
 		message: MessageOf<'forward'>,
@@ -152,12 +156,12 @@
 	}
 
 	dropLink(key: string): void {
-		this.#forwards.dropLink(key);
+		this.#forwards.handleLinkDown(key);
 	}
 
 	/**
-	A submission without an id gets one here. A service whose requests are not idempotent takes
-	none without: a retry by the caller or a balancer would be a second run that nobody sees.
+	Issues an id for a submission without one. Services that are not idempotent require an id from
+	the caller: a retry by the caller or a load balancer would run the job a second time unnoticed.
 	*/
 	#chooseId(request: CallerSubmission): Result<string, Problem> {
 		if (request.id !== undefined) {
@@ -171,7 +175,7 @@
 				createProblem(
 					'id-required',
 					'none',
-					'make an id under the issuer: ISSUER.RANDOM',
+					'submit with an id of the form ISSUER.RANDOM, where ISSUER is the given issuer',
 					{issuer},
 				),
 			);
@@ -185,7 +189,7 @@
 		);
 	}
 
-	async #submit(
+	async #handleSubmission(
 		id: JobId,
 		request: CallerSubmission & {id: string},
 	): Promise<JobReply> {
@@ -212,7 +216,7 @@
 	): Promise<JobReply> {
 		const record = this.#options.owner.submitJob({...request, generation});
 		return record instanceof JobRecord
-			? record.waitReply(request.waitMs)
+			? record.waitForReply(request.waitMs)
 			: err(record);
 	}
 
@@ -228,10 +232,10 @@
 				});
 	}
 
-	async #ask(request: Asked): Promise<JobReply> {
+	async #handleRequest(request: JobRequest): Promise<JobReply> {
 		const known = this.#options.owner.findJob(request.id);
 		if (known) {
-			return this.#answerKnown(known, request);
+			return this.#answerOwned(known, request);
 		}
 
 		const parsed = parseId(request.id);
@@ -253,10 +257,13 @@
 			: this.#forward(owner.value, {...request, attempt: 1});
 	}
 
-	async #answerKnown(record: JobRecord, request: Asked): Promise<JobReply> {
+	async #answerOwned(
+		record: JobRecord,
+		request: JobRequest,
+	): Promise<JobReply> {
 		return request.operation === 'cancel'
 			? this.#options.owner.cancelJob(record)
-			: record.waitReply(request.waitMs);
+			: record.waitForReply(request.waitMs);
 	}
 
 	async #answerForward(message: MessageOf<'forward'>): Promise<JobReply> {
@@ -264,7 +271,7 @@
 		if (operation !== 'submit') {
 			const known = this.#options.owner.findJob(message.id);
 			return known
-				? this.#answerKnown(known, {...message, operation})
+				? this.#answerOwned(known, {...message, operation})
 				: err(createNotFound(message.id));
 		}
 
@@ -275,23 +282,23 @@
 				createProblem(
 					'malformed-id',
 					'unknown',
-					'a forward that cannot be read',
+					'the forwarded request cannot be parsed',
 					{id: message.id},
 				),
 			);
 		}
 
-		// Not forwarded a second time: two hosts that disagree must not send a request in circles.
+		// Never forwarded a second time: hosts that disagree on the owner could forward a request in a loop.
 		const owner = await this.#findOwner(parsed.value, {...message, submission});
 		return owner.isOk() && this.#isSelf(owner.value)
 			? this.#submitHere({...message, submission}, owner.value.generation)
-			: err(createUnreachable(message.id));
+			: err(createOwnerUnreachable(message.id));
 	}
 
 	async #forward(owner: Issuer, forward: Forward): Promise<JobReply> {
 		const link = this.#options.findLink(`${owner.dataCentre}_${owner.host}`);
 		if (!link) {
-			return err(createUnreachable(forward.id));
+			return err(createOwnerUnreachable(forward.id));
 		}
 
 		if (link.hello.incarnation !== owner.incarnation) {
@@ -299,7 +306,7 @@
 				createProblem(
 					'owner-gone',
 					'unknown',
-					'the process that owned the job is gone; it may have run',
+					'the process that owned the job has ended; the job may have run',
 					{
 						id: forward.id,
 					},
@@ -327,7 +334,7 @@
 	}
 }
 
-/** An id that can't be read has never been taken by any host: nothing of it ran. */
+/** A malformed id says `ran: 'none'`: no host ever accepts a job under an id that it can't parse. */
 function parseId(text: string): Result<JobId, Problem> {
 	return parseJobId(text).mapErr((error) =>
 		createProblem('malformed-id', 'none', error.message),
@@ -338,7 +345,7 @@
 	return createProblem(
 		'not-found',
 		'unknown',
-		'the owner keeps no such job (any more)',
+		'the owner has no such job, or has dropped its record',
 		{id},
 	);
 }
@@ -352,6 +359,6 @@
 	}
 }
 
-function endSpan(span: HopSpan, reply: JobReply): void {
+function endSpan(span: RequestSpan, reply: JobReply): void {
 	span.end(reply.isErr() ? reply.error.code : undefined);
 }
