--- a/packages/executors/src/executor-pool.ts
+++ b/packages/executors/src/executor-pool.ts
@@ -143,7 +143,7 @@
 		const timeoutMs =
 			Math.ceil(Math.max(1, request.limitMs) / timeoutStepMs) * timeoutStepMs;
 		this.#timer = setTimeout(() => {
-			this.#giveUp('no complete response within the time limit');
+			this.#giveUp('no whole answer in time');
 		}, timeoutMs);
 	}
 
@@ -153,7 +153,7 @@
 		}
 
 		if (this.#isEnded) {
-			controller.abort(new Error('request ended before it was sent'));
+			controller.abort(new Error('given up before it was sent'));
 			return;
 		}
 
@@ -179,7 +179,7 @@
 	): void {
 		this.#receivedBytes += chunk.length;
 		if (this.#receivedBytes > maxResponseBytes) {
-			this.#giveUp(`response exceeds ${maxResponseBytes} bytes`);
+			this.#giveUp(`an answer of over ${maxResponseBytes} bytes`);
 			return;
 		}
 
@@ -269,7 +269,7 @@
 		return {
 			result: 'failed',
 			status: 200,
-			detail: 'response has a JSON content type but is not valid JSON',
+			detail: 'the answer is not the JSON it says it is',
 			runMs,
 		};
 	}
--- a/packages/host/src/job-events.ts
+++ b/packages/host/src/job-events.ts
@@ -2,13 +2,16 @@
 Metrics and spans of jobs: one trace id from the caller's request, over the job and its wait for
 a slot, to each request to an executor.
 */
-import {type JobRecord, type OwnerEvents} from '@gentianshift/jobs';
+import {type JobRecord, type OwnerCallbacks} from '@gentianshift/jobs';
 import {type Metrics, type Span, type Tracer} from '@gentianshift/telemetry';
 import {readNow} from './identity.js';
 
 type JobSpans = {job: Span; wait: Span | undefined};
 
-export function createJobEvents(metrics: Metrics, tracer: Tracer): OwnerEvents {
+export function createJobEvents(
+	metrics: Metrics,
+	tracer: Tracer,
+): OwnerCallbacks {
 	const spans = new Map<JobRecord, JobSpans>();
 
 	function endWait(record: JobRecord): void {
--- a/packages/host/src/mesh-handlers.ts
+++ b/packages/host/src/mesh-handlers.ts
@@ -74,7 +74,7 @@
 		onLinkDown(link, reason) {
 			logger.warn({peer: link.key, reason}, 'link down');
 			statuses.forget(link.key);
-			getRouter().dropLink(link.key);
+			getRouter().handleLinkDown(link.key);
 			directory.markLinkDown(link, reason);
 			slots.resetKeeper(link.key);
 		},
--- a/packages/host/src/names.ts
+++ b/packages/host/src/names.ts
@@ -2,7 +2,7 @@
 Claims of callers' names in the platform's service, as the jobs package asks for them.
 */
 import {randomBytes} from 'node:crypto';
-import {type ClaimState, type NamePort} from '@gentianshift/jobs';
+import {type ClaimResult, type NameClaimStore} from '@gentianshift/jobs';
 import {
 	createNameClaims,
 	createRateLimit,
@@ -15,7 +15,7 @@
 	keyValue: KeyValue,
 	prefix: string,
 	claimsPerSecond: number,
-): NamePort {
+): NameClaimStore {
 	const claims = createNameClaims({
 		keyValue,
 		prefix,
@@ -54,7 +54,7 @@
 	};
 }
 
-function readHeld(holder: string): ClaimState {
+function readHeld(holder: string): ClaimResult {
 	const issuer = parseIssuer(holder);
 	return issuer.isOk()
 		? {state: 'held', holder: issuer.value}
--- a/packages/host/src/start-host.ts
+++ b/packages/host/src/start-host.ts
@@ -151,7 +151,7 @@
 		});
 		const generations = createGenerations({
 			self: {dataCentre, host, incarnation: this.#identity.incarnation},
-			lengthMs: settings.generations.lengthMs,
+			generationMs: settings.generations.lengthMs,
 			now: readNow,
 		});
 		this.#owner = this.#createOwner(generations, options.createSource);
@@ -293,7 +293,7 @@
 			canServe: (target) => listExecutors(target).length > 0,
 			estimateTaskMs: (service, declaredMs) =>
 				estimates.estimateMs(service, declaredMs),
-			learnRunMs: (service, runMs) => {
+			addRunTime: (service, runMs) => {
 				const declaredMs = this.#lookup.findService(service)?.taskMs ?? runMs;
 				estimates.learn(service, runMs, declaredMs);
 			},
@@ -334,7 +334,7 @@
 					},
 				};
 			},
-			createRandom: () => randomBytes(8).toString('hex'),
+			createRandomHex: () => randomBytes(8).toString('hex'),
 		});
 	}
 
--- a/packages/jobs/src/admission.ts
+++ b/packages/jobs/src/admission.ts
@@ -56,26 +56,22 @@
 	}
 
 	if (record.taskCount > service.maxTasks) {
-		const detail = `the job has ${record.taskCount} tasks; the service accepts at most ${service.maxTasks}`;
+		const detail = `${record.taskCount} tasks; the service takes ${service.maxTasks}`;
 		return refuse('too-many-tasks', detail);
 	}
 
 	if (!view.canServe) {
-		const detail = `target "${service.target}" has no executor that accepts tasks`;
+		const detail = `target "${service.target}" has no executor that takes work`;
 		return refuse('impossible', detail);
 	}
 
 	if (view.isStopping) {
-		const detail = 'this host is stopping; submit the job to another host';
+		const detail = 'this host is stopping; another one takes the job';
 		return refuse('stopping', detail, stoppingRetryMs);
 	}
 
 	return isFull(record, service, view)
-		? refuse(
-				'overloaded',
-				'this host has reached its limit of jobs or queued tasks',
-				fullRetryMs,
-			)
+		? refuse('overloaded', 'this host keeps all the work it may', fullRetryMs)
 		: undefined;
 }
 
@@ -95,13 +91,13 @@
 		? createProblem(
 				'id-expired',
 				'unknown',
-				'the id has expired: ids are valid for two generations; use a new one',
+				'an id is good for two generations; take a new one',
 				{id},
 			)
 		: createProblem(
 				'malformed-id',
 				'unknown',
-				'this host has not issued this id yet',
+				'this host has not issued such an id',
 				{id},
 			);
 }
--- a/packages/jobs/src/generations.ts
+++ b/packages/jobs/src/generations.ts
@@ -13,14 +13,14 @@
 
 export type GenerationsOptions = {
 	self: Omit<Issuer, 'generation'>;
-	lengthMs: number;
+	generationMs: number;
 	/** Monotonic milliseconds. */
 	now: () => number;
 };
 
 export function createGenerations({
 	self,
-	lengthMs,
+	generationMs: lengthMs,
 	now,
 }: GenerationsOptions): Generations {
 	const startedAt = now();
--- a/packages/jobs/src/job-record.ts
+++ b/packages/jobs/src/job-record.ts
@@ -169,7 +169,7 @@
 				createProblem(
 					'answer-dropped',
 					'some',
-					'the job completed, but its results are no longer stored',
+					'the job completed; its answer is no longer kept',
 					{id: this.id},
 				),
 			);
--- a/packages/jobs/src/name-register.ts
+++ b/packages/jobs/src/name-register.ts
@@ -27,20 +27,20 @@
 const platformRetryMs = 2000;
 
 /** Result of a claim in the platform's service. */
-export type ClaimState =
+export type ClaimResult =
 	| {state: 'claimed'}
 	| {state: 'held'; holder: Issuer}
 	/** The claim may or may not have taken effect, or this host makes no claims at present. */
 	| {state: 'unavailable'; retryAfterMs?: number};
 
-export type NamePort = {
+export type NameClaimStore = {
 	/** Creates the claim unless the name is already claimed. */
-	claimName: (uuid: string, holder: Issuer) => Promise<ClaimState>;
+	claimName: (uuid: string, holder: Issuer) => Promise<ClaimResult>;
 	readHolder: (uuid: string) => Promise<Issuer | 'none' | 'unavailable'>;
 };
 
 export type NameRegisterOptions = {
-	port: NamePort;
+	port: NameClaimStore;
 	generations: Generations;
 	/** Monotonic milliseconds. */
 	now: () => number;
@@ -104,7 +104,7 @@
 					createProblem(
 						'not-found',
 						'unknown',
-						'no host holds this name, or its claim has expired',
+						'nobody holds this name (any more)',
 						{id: id.uuid},
 					),
 				)
@@ -159,7 +159,7 @@
 					createProblem(
 						'id-expired',
 						'unknown',
-						'this host claimed the name before and no longer has its record',
+						'the name was claimed here before',
 						{id: id.uuid},
 					),
 				);
--- a/packages/jobs/src/owner.fixture.ts
+++ b/packages/jobs/src/owner.fixture.ts
@@ -45,7 +45,7 @@
 	let handlers: SlotHandlers | undefined;
 	const generations = createGenerations({
 		self: {dataCentre: 'mieres', host: 'm1', incarnation: '0123456789abcdef'},
-		lengthMs: 1000,
+		generationMs: 1000,
 		now: () => clock.now,
 	});
 	const owner = new Owner({
@@ -59,7 +59,7 @@
 		hasTeam: (name) => name === 'cooks',
 		canServe: (target) => target === 'kitchens',
 		estimateTaskMs: (_service, declaredMs) => declaredMs,
-		learnRunMs() {
+		addRunTime() {
 			// Not tested here.
 		},
 		sendTask(_executor, request, onEnd) {
@@ -123,7 +123,7 @@
 		const slot: UsableSlot = {
 			executor,
 			isUsable: () => isUsable,
-			keep: () => isKept,
+			endTask: () => isKept,
 			release(outcome) {
 				released.push(outcome.result);
 			},
--- a/packages/jobs/src/owner.ts
+++ b/packages/jobs/src/owner.ts
@@ -36,7 +36,7 @@
 } from './slot-source.js';
 
 /** Callbacks for metrics and trace spans. */
-export type OwnerEvents = {
+export type OwnerCallbacks = {
 	onTaskStart: (
 		record: JobRecord,
 		index: number,
@@ -57,14 +57,14 @@
 	canServe: (target: string) => boolean;
 	/** Expected run time of one task of the service, milliseconds. */
 	estimateTaskMs: (service: string, declaredMs: number) => number;
-	learnRunMs: (service: string, runMs: number) => void;
+	addRunTime: (service: string, runMs: number) => void;
 	sendTask: (
 		executor: Executor,
 		request: TaskRequest,
 		onEnd: (outcome: TaskOutcome) => void,
 	) => void;
 	createSlotSource: (handlers: SlotHandlers) => SlotSource;
-	events: OwnerEvents;
+	events: OwnerCallbacks;
 };
 
 export type OwnedSubmission = {
@@ -159,12 +159,7 @@
 
 	/** Ends a job at its caller's request; no further task of it starts. */
 	cancelJob(record: JobRecord): JobReply {
-		this.#failJob(
-			record,
-			'cancelled',
-			'cancelled',
-			'the caller cancelled the job',
-		);
+		this.#failJob(record, 'cancelled', 'cancelled', 'cancelled by its caller');
 		return record.readReply();
 	}
 
@@ -353,7 +348,7 @@
 			!record.isFinal &&
 			record.queuedTasks > 0 &&
 			outcome.result === 'done' &&
-			slot.keep(slotOutcome, {
+			slot.endTask(slotOutcome, {
 				remaining: record.remainingTasks,
 				queued: record.queuedTasks,
 			})
@@ -375,7 +370,7 @@
 	#settleTask(record: JobRecord, index: number, outcome: TaskOutcome): void {
 		switch (outcome.result) {
 			case 'done': {
-				this.#options.learnRunMs(record.submission.service, outcome.runMs);
+				this.#options.addRunTime(record.submission.service, outcome.runMs);
 				record.completeTask(index, outcome.value);
 				if (record.state === 'complete') {
 					this.#endJob(record);
@@ -408,7 +403,7 @@
 					record,
 					'failed',
 					'task-unknown',
-					`task ${index} gave no complete response and may have run: ${outcome.detail}`,
+					`task ${index} may have run: ${outcome.detail}`,
 				);
 				break;
 			}
@@ -459,7 +454,7 @@
 		const problem = createProblem(
 			refusal.code,
 			'none',
-			'the slot keeper refused the job before any of its tasks ran',
+			'refused by the keeper of the slots before anything ran',
 			{
 				id: record.id,
 				retryAfterMs: refusal.retryAfterMs,
--- a/packages/jobs/src/router.ts
+++ b/packages/jobs/src/router.ts
@@ -39,7 +39,7 @@
 	/** Starts a span under the given trace context, or a new trace if there is none. */
 	startSpan: (name: string, traceparent?: string) => RequestSpan;
 	/** Returns 16 hexadecimal digits from a cryptographically secure source. */
-	createRandom: () => string;
+	createRandomHex: () => string;
 };
 
 export type CallerSubmission = {
@@ -155,7 +155,7 @@
 		this.#forwards.receiveAnswer(message);
 	}
 
-	dropLink(key: string): void {
+	handleLinkDown(key: string): void {
 		this.#forwards.handleLinkDown(key);
 	}
 
@@ -175,7 +175,7 @@
 				createProblem(
 					'id-required',
 					'none',
-					'submit with an id of the form ISSUER.RANDOM, where ISSUER is the given issuer',
+					'make an id under the issuer: ISSUER.RANDOM',
 					{issuer},
 				),
 			);
@@ -184,7 +184,7 @@
 		return ok(
 			formatJobId(
 				this.#options.generations.readIssuer(),
-				this.#options.createRandom(),
+				this.#options.createRandomHex(),
 			),
 		);
 	}
@@ -282,7 +282,7 @@
 				createProblem(
 					'malformed-id',
 					'unknown',
-					'the forwarded request cannot be parsed',
+					'a forward that cannot be read',
 					{id: message.id},
 				),
 			);
@@ -306,7 +306,7 @@
 				createProblem(
 					'owner-gone',
 					'unknown',
-					'the process that owned the job has ended; the job may have run',
+					'the process that owned the job is gone; it may have run',
 					{
 						id: forward.id,
 					},
@@ -345,7 +345,7 @@
 	return createProblem(
 		'not-found',
 		'unknown',
-		'the owner has no such job, or has dropped its record',
+		'the owner keeps no such job (any more)',
 		{id},
 	);
 }
--- a/packages/jobs/src/slot-source.ts
+++ b/packages/jobs/src/slot-source.ts
@@ -14,7 +14,7 @@
 	*/
 	isUsable: () => boolean;
 	/** Reports the end of a task; returns true if the job may use the slot for its next task. */
-	keep: (
+	endTask: (
 		outcome: SlotOutcome,
 		left: Pick<JobDemand, 'remaining' | 'queued'>,
 	) => boolean;
--- a/packages/slots/src/borrower.ts
+++ b/packages/slots/src/borrower.ts
@@ -375,7 +375,7 @@
 		return {
 			executor,
 			isUsable: () => this.#isUsable(slot),
-			keep: (outcome, left) => this.#keep(slot, outcome, left),
+			endTask: (outcome, left) => this.#keep(slot, outcome, left),
 			release: (outcome) => {
 				this.#release(slot, outcome);
 			},
--- a/packages/slots/src/local-view-source.ts
+++ b/packages/slots/src/local-view-source.ts
@@ -117,7 +117,7 @@
 		return {
 			executor,
 			isUsable: () => options.listExecutors(target).includes(executor),
-			keep: () => false,
+			endTask: () => false,
 			release(outcome: SlotOutcome) {
 				changeOutstanding(executor, -1);
 				scheduleGrants(outcome.result === 'refused' ? refusalPauseMs : 0);
--- a/packages/slots/src/slot-exchange.test.ts
+++ b/packages/slots/src/slot-exchange.test.ts
@@ -23,7 +23,7 @@
 	freeze();
 	fireTimers();
 	const {slot} = starts[0]!;
-	const hasKept = slot.keep(
+	const hasKept = slot.endTask(
 		{result: 'done', runMs: 100},
 		{remaining: 2, queued: 1},
 	);
