--- a/packages/host/src/scheduling/executor-lists.test.ts
+++ b/packages/host/src/scheduling/executor-lists.test.ts
@@ -304,7 +304,7 @@
 });
 
 // Guards against starts next to tasks of unknown size on executors that would not refuse them.
-test('executors are listed as guarded if the configuration says that their service enforces limits', async () => {
+test('executors are listed as enforcing their capacity if the configuration says that their service enforces limits', async () => {
 	let isGuarded = false;
 	const lists = makeLists({
 		source: {list: () => okAsync([{...makeExecutor('e1'), sequence: 1}])},
--- a/packages/host/src/scheduling/group-holding.ts
+++ b/packages/host/src/scheduling/group-holding.ts
@@ -1,6 +1,6 @@
 /**
-Whether this host schedules the executors of its data centre. It takes the group when the holder is
-gone, and gives it up when another host has a higher fencing token.
+Whether this host schedules the executors of its data centre. It takes the group when it has no
+working holder, and gives it up when another host has a higher fencing token.
 
 The store arbitrates: the group's key changes hands by compare-and-swap, and the key's revision
 gives the fencing token. While the store is unavailable, only the executors' check of the token
--- a/packages/membership/src/holders.ts
+++ b/packages/membership/src/holders.ts
@@ -43,7 +43,7 @@
 }
 
 /**
-Returns the keys with hosts that have more cores first, and otherwise in the given order.
+Returns the keys, those of hosts with more cores first; equal ones stay in the given order.
 
 For roles that take a large share of a small host's processor. Hashing alone gives such a role to
 any host; on one with a quarter of the others' cores, everything that depends on the role is late.
--- a/packages/membership/src/host-view.ts
+++ b/packages/membership/src/host-view.ts
@@ -5,12 +5,12 @@
 How far each source is trusted:
 
 - A connection that this host dialled and that answers is first-hand: its host is live, whatever any
-  list says. A connection that a peer dialled only tells the peer's address, like a peer's list with
+  list says. A connection that a peer dialled only shows the peer's address, like a peer's list with
   one host; it does not show that the peer can be reached.
 - A closed connection may be a brief interruption: its host stays live for `reconnectGraceMs`, so
   that roles don't move away and back. A host whose connection was closed for silence stops being
   live immediately, as the silence has used that time up.
-- The platform's list lags and has outages. It tells which hosts to dial and which are leaving.
+- The platform's list lags and has outages. It names which hosts to dial and which are leaving.
   Being listed makes no host live: a host that died stays listed for a while, and would hold roles
   without anyone receiving anything from it.
 - Peers' lists replace the platform's while the platform is down, or for a host that starts then. A
--- a/packages/scheduling/src/answer-times.ts
+++ b/packages/scheduling/src/answer-times.ts
@@ -34,7 +34,7 @@
 /**
 @example
 const times = createAnswerTimes();
-times.note(2);
+times.recordAnswer(2);
 times.getTimeoutMs(); // 40: the minimum
 */
 export function createAnswerTimes(): AnswerTimes {
--- a/packages/scheduling/src/entry-contacts.ts
+++ b/packages/scheduling/src/entry-contacts.ts
@@ -9,8 +9,8 @@
 	/** Records that a message from the entry has arrived. */
 	noteMessage: (entry: Entry, now: number) => void;
 	/**
-	Records that the entry has answered a state message of this holder. An entry sends its `replace` and `part` messages before
-	that answer, so the holder now knows all that the entry wants of it.
+	Records that the entry has answered a state message of this scheduler. An entry sends its `replace` and `part` messages before
+	that answer, so the scheduler now knows all that the entry wants of it.
 	*/
 	markAnswered: (entry: Entry) => void;
 	/** Whether an entry process on this host has answered. */
--- a/packages/scheduling/src/entry-job.ts
+++ b/packages/scheduling/src/entry-job.ts
@@ -42,7 +42,7 @@
 	/** Fencing token of the holder that the task was first sent to in this group. */
 	firstToken?: number;
 	isDone: boolean;
-	/** Incremented each time the entry places the task, so that reports about an earlier placement can be told apart. */
+	/** Incremented each time the entry places the task, so that reports about an earlier placement are recognized. */
 	placement: number;
 	/** How often a group has returned the task for placement in another group. */
 	shifts: number;
@@ -64,7 +64,7 @@
 	/** When the caller stops waiting. */
 	callerDeadlineAt: number;
 	/**
-	A scheduler admitted the job and returned it only because another group has room, or the job had to wait because no
+	A scheduler admitted the job and returned it only because another group has free capacity, or the job had to wait because no
 	scheduler was reachable. The job is then no longer refused for being late.
 	*/
 	isAdmitted: boolean;
--- a/packages/scheduling/src/entry-jobs.test.ts
+++ b/packages/scheduling/src/entry-jobs.test.ts
@@ -233,7 +233,7 @@
 });
 
 // A scheduler's machine is cut off with a job's tasks. The tasks may not start elsewhere until it has stopped them, and
-// then it is too late. A caller that is told so at once can do something else.
+// then it is too late. A caller that is refused at once can do something else.
 test('a job whose scheduler is silent is given up when it can no longer end in time', () => {
 	const {entry, groups, clock} = createEntryJobs();
 	groups.update('mieres_m1', makeState('mieres'), clock.now);
@@ -272,7 +272,7 @@
 	assert.ok(part?.tasks.every(([, attempt]) => attempt > 10));
 });
 
-// One data centre returns a job as full while the next one has room. If the job were refused at the first return, executors
+// One data centre returns a job as full while the next one has free capacity. If the job were refused at the first return, executors
 // would stay idle although a caller was refused.
 test('a job that one group returns as full is tried in another group before it is refused', () => {
 	const {entry, groups, clock, listParts} = createEntryJobs();
@@ -301,7 +301,7 @@
 	assert.equal(answers[0]?.type, 'refused');
 });
 
-// A group held a job for a while and returned it because another group had room, but that room is gone. If admission were
+// A group held a job for a while and returned it because another group had free capacity, which is gone by now. If admission were
 // checked again, the job would be refused after having waited.
 test('a job that was admitted is not checked for admission again when it is moved', () => {
 	const {entry, groups, clock, listParts} = createEntryJobs();
@@ -424,7 +424,7 @@
 	assert.equal(listParts('mieres_m2').length, 1);
 });
 
-// Otherwise a job that spent its admission time waiting for a group's answer would be refused for lack of room
+// Otherwise a job that spent its admission time waiting for a group's answer would be refused for lack of capacity
 // although executors are free.
 test('the wait for confirmations does not count against the admission of a job', () => {
 	const {entry, groups, clock, listParts} = createEntryJobs();
--- a/packages/scheduling/src/entry-jobs.ts
+++ b/packages/scheduling/src/entry-jobs.ts
@@ -51,8 +51,8 @@
 /** Attempts that a lost scheduler may have started without the entry learning of them; a new start is numbered beyond them. */
 const maxUnreportedAttempts = 16;
 /**
-After this many groups have returned a task as `full`, its job is refused: what is known of the other groups' room is no
-newer than what was known of these.
+After this many groups have returned a task as `full`, its job is refused: what is known of the other groups' free
+capacity is no newer than what was known of these.
 */
 const maxFullGroups = 2;
 /**
@@ -578,7 +578,7 @@
 		this.#placeTasks(job, tasks, from);
 	}
 
-	/** Places tasks in groups; `avoidedGroup` is a group that has just returned them, and counts as having no free room. */
+	/** Places tasks in groups; `avoidedGroup` is a group that has just returned them, and counts as having no free capacity. */
 	#placeTasks(job: EntryJob, tasks: EntryTask[], avoidedGroup?: string): void {
 		const ports = this.#ports;
 		const now = ports.now();
@@ -644,7 +644,7 @@
 			return;
 		}
 
-		// The job waits because no scheduler is reachable, not for lack of room: it is admitted even if it will be late.
+		// The job waits because no scheduler is reachable, not for lack of capacity: it is admitted even if it will be late.
 		job.isAdmitted = true;
 		this.#waitingJobs.add(job);
 	}
@@ -656,7 +656,7 @@
 		const now = this.#ports.now();
 		const startsAt = Math.max(now, earliestClearAt ?? now);
 		if (startsAt + job.estimateMs >= job.usefulUntil) {
-			// Another copy may have started tasks, so the caller must not be told that nothing has run.
+			// Another copy may have started tasks, so the caller must not get the answer that nothing has run.
 			const places = [...(job.copyCheck?.places.values() ?? [])];
 			job.isStarted ||= places.some(({isSure}) => isSure);
 			this.#giveUp(job, reason, startsAt - now);
@@ -666,7 +666,7 @@
 		this.#waitingJobs.add(job);
 	}
 
-	/** Extends the job's admission limit by the time that it waited for answers about other copies: that wait says nothing about room. */
+	/** Extends the job's admission limit by the time that it waited for answers about other copies: that wait says nothing about capacity. */
 	#extendAdmission(job: EntryJob, now: number): void {
 		const {copyCheck} = job;
 		if (copyCheck?.askedAt !== undefined) {
--- a/packages/scheduling/src/executor-session.ts
+++ b/packages/scheduling/src/executor-session.ts
@@ -3,7 +3,7 @@
 ends of runs. Nothing else in the process reads an executor's ends.
 
 An executor that does not answer is silent: it gets no new starts and its lease is no longer renewed. Once the lease has
-passed, its runs are certain to be over. Each report is entered as a whole (`run-table.ts`) before any callback is
+passed, its runs are certain to be over. Each report is applied as a whole (`run-table.ts`) before any callback is
 called.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
@@ -423,7 +423,7 @@
 		return this.#lease.extend(cap, this.ports.now());
 	}
 
-	/** Enters the whole report in the run table before any callback acts on a part of it. */
+	/** Applies the whole report to the run table before any callback acts on a part of it. */
 	#handleReport(report: LeaseReply, sentAt: number): void {
 		if (report.clockMs < this.#reportedClockMs) {
 			return;
--- a/packages/scheduling/src/executor-set.ts
+++ b/packages/scheduling/src/executor-set.ts
@@ -14,7 +14,7 @@
 export type ExecutorSet = {
 	readonly sessions: ReadonlyMap<string, ExecutorSession>;
 	/**
-	Takes the group's executors as the store lists them now: opens sessions for new ones, stops all runs on unlisted
+	Sets the group's executors as the store lists them now: opens sessions for new ones, stops all runs on unlisted
 	ones.
 	*/
 	setListed: (executors: readonly Executor[]) => void;
--- a/packages/scheduling/src/group-directory.test.ts
+++ b/packages/scheduling/src/group-directory.test.ts
@@ -24,9 +24,9 @@
 	return spread.type === 'placed' ? [...spread.shares.keys()] : [];
 }
 
-// A scheduler's machine freezes. For six tenths of a second its last state still shows free room, and a job placed there is
-// lost although the next data centre, a millisecond away, has room.
-test('a group whose states are missing gets no tasks while another group has room', () => {
+// A scheduler's machine freezes. For six tenths of a second its last state still shows free capacity, and a job placed there is
+// lost although the next data centre, a millisecond away, has some.
+test('a group whose states are missing gets no tasks while another group has free capacity', () => {
 	const groups = createGroupDirectory();
 	groups.update('mieres_m1', makeState('mieres'), 0);
 	groups.update('langreo_l1', makeState('langreo'), 0);
--- a/packages/scheduling/src/group-directory.ts
+++ b/packages/scheduling/src/group-directory.ts
@@ -1,6 +1,6 @@
 /**
 What a host knows about each group: its holder (the host whose scheduler runs the group's executors at present), since when the holder
-has been silent, and how much room the group has.
+has been silent, and how much free capacity the group has.
 */
 import {type GroupState} from '@gentianshift/protocol';
 import {type GroupRoom} from './place-job.js';
@@ -24,17 +24,17 @@
 	update: (holder: string, state: GroupState, now: number) => boolean;
 	findGroup: (group: string) => KnownGroup | undefined;
 	list: () => KnownGroup[];
-	/** Subtracts tasks sent to a group from its free room, until its next state arrives. */
+	/** Subtracts tasks sent to a group from its free capacity, until its next state arrives. */
 	takeRoom: (group: string, cpu: number, tasks: number) => void;
-	/** Reserves free room for tasks of that size in groups other than `home`; returns for how many tasks. */
+	/** Reserves free capacity for tasks of that size in groups other than `home`; returns for how many tasks. */
 	takeElsewhere: (
 		request: {home: string; cpu: number; tasks: number},
 		now: number,
 	) => number;
 	/**
-	The room of groups in which new tasks may be placed. A holder that has just died or is cut off is silent for some tenths of a
-	second before it counts as gone. Tasks sent to it in that time come back too late for jobs with short objectives. So a group
-	from which states are missing is listed with no free room, and is used only if no other group has any.
+	The groups in which new tasks may be placed, with their free capacity and load. A holder that has just died or is cut off is
+	silent for some tenths of a second before it counts as gone. Tasks sent to it in that time come back too late for jobs with short objectives. So a group
+	from which states are missing is listed with no free capacity, and is used only if no other group has any.
 	*/
 	listRooms: (now: number) => GroupRoom[];
 	/** One line of text about each group, for the log. */
--- a/packages/scheduling/src/group-job.ts
+++ b/packages/scheduling/src/group-job.ts
@@ -31,7 +31,7 @@
 	/** The executor of the current run. */
 	executor?: string;
 	failures: number;
-	/** How often this or another group has returned the task to its entry because a different group had room. */
+	/** How often this or another group has returned the task to its entry because a different group had free capacity. */
 	shifts: number;
 	/** How often a run of the task was stopped as overdue. */
 	moves: number;
--- a/packages/scheduling/src/group-scheduler.fixture.ts
+++ b/packages/scheduling/src/group-scheduler.fixture.ts
@@ -45,7 +45,7 @@
 		peers = [],
 		log = () => undefined,
 	}: {
-		/** Number of tasks for which other groups have room. */
+		/** Number of tasks for which other groups have free capacity. */
 		roomElsewhere?: number;
 		isListComplete?: boolean;
 		/** Keys of the other hosts. */
--- a/packages/scheduling/src/group-scheduler.test.ts
+++ b/packages/scheduling/src/group-scheduler.test.ts
@@ -1,5 +1,5 @@
 /**
-A group's scheduler on a virtual clock, with executors that lose orders and answers.
+A group's scheduler on a virtual clock, with executors that lose calls and answers.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -17,7 +17,7 @@
 import {type GroupScheduler} from './group-scheduler.js';
 import {VirtualClock} from './virtual-clock.fixture.js';
 
-test('tasks are started where there is room, and their ends are sent to the entry', async () => {
+test('tasks are started where there is free capacity, and their ends are sent to the entry', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({count: 2});
 	scheduler.receivePart(
 		entry,
@@ -241,7 +241,7 @@
 	return results;
 }
 
-// On one executor of eight all tasks hang, while it reports that it is healthy. It seems to have the most room,
+// On one executor of eight all tasks hang, while it reports that it is healthy. It seems to have the most free capacity,
 // so every job would get a task there and its caller would wait in vain.
 test('an executor on which tasks hang delays a few jobs, not all', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({count: 8});
@@ -256,9 +256,9 @@
 	assert.deepEqual(findOverlaps(executors.runs), []);
 });
 
-// A task hangs while all other executors are busy, so that there is no room to move it to when it is found
+// A task hangs while all other executors are busy, so that it can be moved nowhere when it is found
 // overdue. If it were checked only then, it would hold up its job until the caller gives up.
-test('a task that hangs is moved as soon as there is room, also after it was found overdue', async () => {
+test('a task that hangs is moved as soon as there is free capacity, also after it was found overdue', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({
 		count: 2,
 		cpu: 14_000,
@@ -312,7 +312,7 @@
 	assert.equal(executors.runs.length, 1);
 });
 
-// A job with many tasks waits for room, and a job of one short task arrives. It goes first by rank; if it were
+// A job with many tasks waits for free capacity, and a job of one short task arrives. It goes first by rank; if it were
 // refused because of the larger job's work, its caller would be turned away from a group that would serve it
 // next.
 test('a small job is not refused because of larger ones that rank behind it', async () => {
@@ -346,7 +346,7 @@
 	);
 });
 
-// An executor fails every task at once, so that its room is always free. Every task would be started there and
+// An executor fails every task at once, so that its capacity is always free. Every task would be started there and
 // use up one of its few attempts.
 test('an executor that fails every task gets few tasks', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({count: 8});
@@ -360,7 +360,7 @@
 });
 
 // An executor runs at a sixth of its speed for a while. Tasks placed there make their jobs late.
-test('an executor that has become slow gets few tasks while others have room', async () => {
+test('an executor that has become slow gets few tasks while others have free capacity', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({count: 8});
 	executors.fakes[0]!.slowness = 6;
 	const results = await runSteadyLoad(clock, scheduler, entry, 40);
@@ -368,9 +368,9 @@
 	assert.ok(delayed.length <= 6, `${delayed.length} of 40 were delayed`);
 });
 
-// One data centre is full while others have room for three more tasks. A task that waits behind long ones would
+// One data centre is full while others have capacity for three more tasks. A task that waits behind long ones would
 // be late; one that is returned can start in another data centre a millisecond later.
-test('tasks that find no room are returned while another group has room for them', async () => {
+test('tasks that find no free capacity are returned while another group has some for them', async () => {
 	const clock = new VirtualClock();
 	const executors = createFakeExecutors(clock, {count: 1});
 	const scheduler = createScheduler(clock, executors, 1, {
@@ -454,7 +454,7 @@
 });
 
 // The group changes hands while it is full, and the entry's part arrives before the executors have reported
-// their runs. If tasks were returned because another group has room, they would be started a second time.
+// their runs. If tasks were returned because another group has free capacity, they would be started a second time.
 test('a new scheduler does not return tasks that run under the old one', async () => {
 	const {
 		clock,
--- a/packages/scheduling/src/group-scheduler.ts
+++ b/packages/scheduling/src/group-scheduler.ts
@@ -3,7 +3,7 @@
 of its executors, and is the only one that calls these executors while it holds the group.
 
 Entries hand over parts of jobs, each under a claim that the entry has to renew. A task is started when an
-executor has room, and its end is sent to its entry at once. When a job's claim has ended, or its entry drops
+executor has free capacity, and its end is sent to its entry at once. When a job's claim has ended, or its entry drops
 it, its runs are stopped. Tasks that can't be served in time are returned at once, so that their entry can place
 them elsewhere or refuse the job.
 */
@@ -85,7 +85,7 @@
 	/** The free capacity or the backlog has changed. */
 	onChange: () => void;
 	/**
-	Takes room for tasks of `cpu` thousandths of a core from what this host knows to be free in other groups;
+	Reserves free capacity in other groups, as far as this host knows it, for tasks of `cpu` thousandths of a core;
 	returns for how many of `tasks`.
 	*/
 	takeRoomElsewhere: (cpu: number, tasks: number) => number;
@@ -827,7 +827,7 @@
 	}
 
 	/**
-	Detects a pause of this host. Messages that arrived meanwhile have yet to be read, and entries have yet to
+	Detects a pause of this host. Messages that arrived during it have yet to be read, and entries have yet to
 	answer a state message sent after the pause. Until they do, none of the tasks that they handed over before
 	is started, and no lease of their runs is renewed.
 	*/
--- a/packages/scheduling/src/holder-contacts.ts
+++ b/packages/scheduling/src/holder-contacts.ts
@@ -3,7 +3,7 @@
 the jobs that it no longer wants.
 
 The failure prevented here: the connection to a holder breaks just when a job is given up, and the `drop` message is lost. The job's
-claim expires by itself, but until then its runs take up room. Therefore recent `drop` messages are sent again on each new connection.
+claim expires by itself, but until then its runs take up capacity. Therefore recent `drop` messages are sent again on each new connection.
 */
 import {
 	type Drop,
--- a/packages/scheduling/src/lost-answers.test.ts
+++ b/packages/scheduling/src/lost-answers.test.ts
@@ -1,5 +1,5 @@
 /**
-Tests how many jobs end in time while executors leave some of the scheduler's orders unanswered, on a virtual clock.
+Tests how many jobs end in time while executors leave some of the scheduler's calls unanswered, on a virtual clock.
 */
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
@@ -18,9 +18,9 @@
 /** Latency objective of each job: 1.6 times its run time plus 60 ms. */
 const objectiveMs = 1.6 * runMs + 60;
 
-// One order in twenty gets no answer. That includes lease renewals, whose answers report the ends of runs. The two starts of a
+// One call in twenty gets no answer. That includes lease renewals, whose answers report the ends of runs. The two starts of a
 // job are hit about one time in ten; all other jobs have to be in time although the report of an end may be lost.
-test('few short jobs are late when one order in twenty is lost', async () => {
+test('few short jobs are late when one call in twenty is lost', async () => {
 	const draw = createDraw(3);
 	let isLossy = false;
 	const {clock, executors, scheduler, entry} = await openScheduler({
--- a/packages/scheduling/src/overdue-runs.ts
+++ b/packages/scheduling/src/overdue-runs.ts
@@ -1,8 +1,8 @@
 /**
 Stops runs that take too long, if their tasks can be started on another executor at once.
 
-Executors on which tasks hang, or that have become slow, make this necessary. Whether other executors have room
-changes all the time, so each check decides again whether a task can be moved; the executor's trust is lowered
+Executors on which tasks hang, or that have become slow, make this necessary. Whether other executors have
+free capacity changes all the time, so each check decides again whether a task can be moved; the executor's trust is lowered
 once per run. A run goes on if no time is left for another one: if it were stopped, its job would certainly be
 given up.
 */
@@ -72,7 +72,7 @@
 }
 
 /**
-Whether another executor has room for the task now: one that is not doubted, and on which no earlier run of the
+Whether another executor has free capacity for the task now: one that is not doubted, and on which no earlier run of the
 task was unsuccessful.
 */
 function hasRoomElsewhere(
--- a/packages/scheduling/src/place-job.test.ts
+++ b/packages/scheduling/src/place-job.test.ts
@@ -36,7 +36,7 @@
 	};
 }
 
-test('a job stays in its own data centre while it has room there', () => {
+test('a job stays in its own data centre while it has free capacity there', () => {
 	const placed = placeJob(
 		[makeRoom('langreo'), makeRoom('mieres')],
 		makeRequest(),
@@ -61,7 +61,7 @@
 });
 
 // One data centre gets many jobs and the others few. If it refused jobs, callers would be turned away although
-// other data centres have room.
+// other data centres have free capacity.
 test('work is shifted to another data centre before it is refused', () => {
 	const full = makeRoom('mieres', {free: [1000], backlog: [0, 1e9, 0, 0]});
 	const placed = placeJob([full, makeRoom('langreo')], makeRequest());
--- a/packages/scheduling/src/place-job.ts
+++ b/packages/scheduling/src/place-job.ts
@@ -1,8 +1,8 @@
 /**
 Chooses the groups that get a job's tasks, or refuses the job at once.
 
-Tasks go where they can start now, to the entry's own data centre first. Only tasks that find no room anywhere
-wait, where the wait is shortest. So a job with more tasks than a small group can run at once is split, and work
+Tasks go where they can start now, to the entry's own data centre first. Only tasks that find no free capacity
+anywhere wait, where the wait is shortest. So a job with more tasks than a small group can run at once is split, and work
 is moved from a full data centre to others before any is refused.
 
 A job is refused at once if the shortest wait anywhere would make it late. At saturation, a job that is admitted
--- a/packages/scheduling/src/place-task.ts
+++ b/packages/scheduling/src/place-task.ts
@@ -1,9 +1,9 @@
 /**
-Chooses the executor for a task: of the sound ones that have enough room, the one with the most.
+Chooses the executor for a task: of the sound ones that have enough free capacity, the one with the most.
 
-An executor takes only two or three tasks. Spreading them keeps room on many executors, so that a job with many
-tasks can start at once. An executor that has proved slow, or is doubted, is used only when no other has room; a
-slow one never for a task that it could not end in time.
+An executor takes only two or three tasks. Spreading them keeps capacity free on many executors, so that a job with many
+tasks can start at once. An executor that has proved slow, or is doubted, is used only when no other has free
+capacity; a slow one never for a task that it could not end in time.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
 import {
@@ -31,7 +31,7 @@
 	estimateMs: number;
 	/** When the caller stops waiting: a later end is of no use. */
 	deadlineAt: number;
-	/** Executors on which an earlier run of the task was unsuccessful; used only when no other has room. */
+	/** Executors on which an earlier run of the task was unsuccessful; used only when no other has free capacity. */
 	avoid: ReadonlySet<string>;
 };
 
@@ -86,7 +86,7 @@
 
 /**
 Weight of one demerit. Larger than any free capacity, so that an executor with fewer demerits goes before another
-however much room that has.
+however much of it that one has.
 */
 const demeritWeight = 1e9;
 
--- a/packages/scheduling/src/place-waiting.ts
+++ b/packages/scheduling/src/place-waiting.ts
@@ -1,10 +1,10 @@
 /**
 Runs one placing round over a scheduler's waiting jobs, in their rank order. Each task is started where there is
-room. Tasks that find none are returned while another group has room for them, and jobs that can no longer end
+free capacity. Tasks that find none are returned while another group has some for them, and jobs that can no longer end
 in time are returned at once.
 
 At saturation the jobs ahead of one may take longer than its caller waits for an answer. This is known as soon
-as the jobs are ranked. If the caller were told only at its deadline, it would have waited for nothing and could
+as the jobs are ranked. If the caller were answered only at its deadline, it would have waited for nothing and could
 no longer resend the job in time.
 */
 import {type Ends} from '@gentianshift/protocol';
@@ -20,8 +20,8 @@
 import {compareJobs} from './rank-jobs.js';
 
 /**
-A task is returned for room in another group this often at most: what is known of that room is some milliseconds
-old.
+A task is returned for placement in another group this often at most: what is known of the free capacity there is
+some milliseconds old.
 */
 const maxShifts = 2;
 
@@ -72,7 +72,7 @@
 	return capacityCpu > 0 ? work / capacityCpu : 0;
 }
 
-/** Starts the job's tasks; returns false if there was no room for one of them. */
+/** Starts the job's tasks; returns false if there was no free capacity for one of them. */
 function startTasks<C extends ExecutorCandidate>(
 	job: GroupJob,
 	{now, candidates, hasRoomFor}: PlacingRound<C>,
@@ -101,7 +101,7 @@
 	return true;
 }
 
-/** Returns tasks that find no room here while another group has room for them now. */
+/** Returns tasks that find no free capacity here while another group has some for them now. */
 function shiftTasks<C extends ExecutorCandidate>(
 	job: GroupJob,
 	{takeRoomElsewhere}: PlacingRound<C>,
--- a/packages/scheduling/src/placing-round.test.ts
+++ b/packages/scheduling/src/placing-round.test.ts
@@ -25,9 +25,9 @@
 	};
 }
 
-// A hundred jobs wait and no executor has room. If all executors were searched for each job at each end of a
+// A hundred jobs wait and no executor has free capacity. If all executors were searched for each job at each end of a
 // task, a search would take longer than the time between two ends, and all answers would be late.
-test('executors without room are searched once for jobs of one size', () => {
+test('executors without free capacity are searched once for jobs of one size', () => {
 	let searches = 0;
 	const candidate = makeCandidate(10_000, () => {
 		searches += 1;
--- a/packages/scheduling/src/placing-round.ts
+++ b/packages/scheduling/src/placing-round.ts
@@ -1,5 +1,5 @@
 /**
-Remembers, during one placing round over the waiting jobs, for which demands no room was found.
+Remembers, during one placing round over the waiting jobs, for which demands no free capacity was found.
 
 Each end of a task starts a round. With long queues, at saturation, a hundred jobs that each search all
 executors take a good part of a small host's core. Within a round free capacity only shrinks, so if there is none
@@ -13,10 +13,10 @@
 	/** Capacity of all candidates together, thousandths of a core. */
 	capacityCpu: number;
 	now: number;
-	/** Whether an executor that may take a task now has room for this demand. */
+	/** Whether an executor that may take a task now has free capacity for this demand. */
 	hasRoomFor: (service: string, demand: TaskDemand) => boolean;
 	/**
-	Takes room for tasks of `cpu` thousandths of a core from what is known to be free in other groups; returns
+	Reserves free capacity in other groups, as far as it is known, for tasks of `cpu` thousandths of a core; returns
 	for how many of `tasks`.
 	*/
 	takeRoomElsewhere: (cpu: number, tasks: number) => number;
@@ -27,9 +27,9 @@
 	now: number,
 	takeKnownRoom: (cpu: number, tasks: number) => number,
 ): PlacingRound<C> {
-	/** The last demand of each service for which no room was found. */
+	/** The last demand of each service for which no free capacity was found. */
 	const lastRefused = new Map<string, TaskDemand>();
-	/** Least processor demand, in thousandths of a core, for which other groups have no room. */
+	/** Least processor demand, in thousandths of a core, for which other groups have no free capacity. */
 	let refusedElsewhereCpu = Infinity;
 	return {
 		candidates,
--- a/packages/scheduling/src/rank-jobs.ts
+++ b/packages/scheduling/src/rank-jobs.ts
@@ -6,7 +6,7 @@
 already, which gains little by being hurried.
 
 Within these, the order combines two rules. Least work first ends the most jobs in time when not all can be, but
-makes middle-sized jobs wait until they are late even while there is room for all. Earliest latest-start first
+makes middle-sized jobs wait until they are late even while there is capacity for all. Earliest latest-start first
 does the opposite: nearly no job is late up to the capacity, and most are far beyond it. So a job's rank is its
 latest start plus the time that one executor takes for its remaining work. Jobs that arrive later have later
 starts, so a waiting job moves forward and none is passed over for ever.
--- a/packages/scheduling/src/room.ts
+++ b/packages/scheduling/src/room.ts
@@ -1,5 +1,5 @@
 /**
-The free capacity ("room") of an executor: its capacity less what its runs use. Processor time is in thousandths of
+The free capacity of an executor: its capacity less what its runs use. Processor time is in thousandths of
 a core.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
--- a/packages/scheduling/src/run-orders.ts
+++ b/packages/scheduling/src/run-orders.ts
@@ -1,8 +1,8 @@
 /**
 Sends starts and stops to one executor.
 
-An order or its answer may be lost, and the executor may still carry the order out seconds later. If the task
-has been placed again meanwhile, two runs of it overlap. So an order without an answer is not taken to have
+A call or its answer may be lost, and the executor may still carry the call out seconds later. If the task
+has been placed again meanwhile, two runs of it overlap. So a call without an answer is not taken to have
 failed: a stop of the same attempt is sent until it is answered, which also makes a late start ineffective.
 */
 import {type Result} from 'neverthrow';
@@ -26,7 +26,7 @@
 	extendLease: () => number | undefined;
 	/** Whether the run is not over yet. */
 	isCurrent: (run: Run) => boolean;
-	/** Once aborted, no further order is sent. */
+	/** Once aborted, no further call is made. */
 	signal: AbortSignal;
 	onClockReading: (clockMs: number) => void;
 	onFailure: (failure: CallFailure, call: 'start' | 'stop') => void;
--- a/packages/scheduling/src/run.ts
+++ b/packages/scheduling/src/run.ts
@@ -34,10 +34,10 @@
 
 /**
 How a run ended for its scheduler.
-- `ended`: the executor stopped it, on an order or as its lease expired there.
+- `ended`: the executor stopped it, on a stop call or because its lease expired there.
 - `lost`: its lease expired or its executor's process ended, and no end was reported.
 - `unstarted`: it is proved that it never ran.
-- `refused`: it never ran, as its executor had no room for it.
+- `refused`: it never ran, as its executor had too little free capacity for it.
 */
 export type RunOutcome =
 	'done' | 'failed' | 'ended' | 'lost' | 'unstarted' | 'refused';
--- a/packages/scheduling/src/takeover.test.ts
+++ b/packages/scheduling/src/takeover.test.ts
@@ -1,5 +1,5 @@
 /**
-Runs of tasks while a group changes hands or orders are lost, on a virtual clock. Whichever answer is missing,
+Runs of tasks while a group changes hands or calls are lost, on a virtual clock. Whichever answer is missing,
 late or partial, no two runs of a task may overlap.
 */
 import assert from 'node:assert/strict';
