--- a/packages/bench/src/slopes-schedulers.ts
+++ b/packages/bench/src/slopes-schedulers.ts
@@ -146,7 +146,7 @@
 			crashes: createCrashRecords(),
 			onFenced: doNothing,
 			onChange: doNothing,
-			takeRoomElsewhere: () => 0,
+			takeCapacityElsewhere: () => 0,
 			isListComplete: () => true,
 			isListFresh: () => true,
 			listPeers: () => [],
--- a/packages/host/src/scheduling/executor-lists.test.ts
+++ b/packages/host/src/scheduling/executor-lists.test.ts
@@ -5,11 +5,11 @@
 import {test} from 'node:test';
 import {setImmediate as nextTurn} from 'node:timers/promises';
 import {errAsync, okAsync, ResultAsync} from 'neverthrow';
-import {type ExecutorWord} from '@gentianshift/scheduling';
+import {type ExecutorRegistration} from '@gentianshift/scheduling';
 import {waitFor} from '../timers.js';
 import {createExecutorLists} from './executor-lists.js';
 
-function makeExecutor(id: string): ExecutorWord {
+function makeExecutor(id: string): ExecutorRegistration {
 	return {
 		id,
 		address: '10.0.0.1:8000',
@@ -29,7 +29,7 @@
 	return createExecutorLists({
 		isHolder: () => true,
 		isKnownService: () => true,
-		isGuardedService: () => true,
+		isCapacityEnforcingService: () => true,
 		onList() {
 			// Read by the test itself.
 		},
@@ -44,7 +44,7 @@
 }
 
 function createLists(
-	readList: () => ExecutorWord[],
+	readList: () => ExecutorRegistration[],
 	now: () => number,
 	isDown = () => false,
 ) {
@@ -126,13 +126,13 @@
 // to that read is seconds old and arrives last; it lacks an executor that has registered since and
 // runs tasks.
 test('the answer to an older read that arrives after a newer one is discarded', async () => {
-	const answers: Array<(list: ExecutorWord[]) => void> = [];
+	const answers: Array<(list: ExecutorRegistration[]) => void> = [];
 	const ending = new AbortController();
 	const lists = makeLists({
 		source: {
 			list: () =>
 				ResultAsync.fromSafePromise(
-					new Promise<ExecutorWord[]>((resolve) => {
+					new Promise<ExecutorRegistration[]>((resolve) => {
 						answers.push(resolve);
 					}),
 				),
@@ -212,7 +212,10 @@
 // starts that exceed its present capacity.
 test('an older registration of an executor does not bring back its former capacity', async () => {
 	let now = 0;
-	const makeVersion = (sequence: number, cpu: number): ExecutorWord => ({
+	const makeVersion = (
+		sequence: number,
+		cpu: number,
+	): ExecutorRegistration => ({
 		...makeExecutor('e1'),
 		capacity: {cpu, memoryMb: 1000, accelerators: 0},
 		sequence,
@@ -228,7 +231,7 @@
 		await lists.refresh();
 		return lists
 			.list()
-			.map(({capacity, capacityReadAt: saidAt}) => [capacity.cpu, saidAt]);
+			.map(({capacity, capacityReadAt}) => [capacity.cpu, capacityReadAt]);
 	};
 
 	assert.deepEqual(await read(), [[8000, 1000]]);
@@ -248,7 +251,7 @@
 // accepting a registration again.
 test('a newer write with a lower sequence number counts once such numbers persist', async () => {
 	let now = 0;
-	let listed: ExecutorWord = {
+	let listed: ExecutorRegistration = {
 		...makeExecutor('e1'),
 		sequence: 900,
 		revision: 10,
@@ -276,7 +279,7 @@
 // Guards against losing an executor because of one unusable capacity, and against scheduling on an
 // executor whose capacity is not known.
 test('an unusable capacity leaves the last usable one in force, and without one the executor is not listed', async () => {
-	let listed: ExecutorWord[] = [
+	let listed: ExecutorRegistration[] = [
 		{...makeExecutor('e1'), sequence: 1},
 		{...makeExecutor('e2'), capacity: undefined, sequence: 1},
 	];
@@ -305,17 +308,17 @@
 
 // Guards against starts next to tasks of unknown size on executors that would not refuse them.
 test('executors are listed as enforcing their capacity if the configuration says that their service enforces limits', async () => {
-	let isGuarded = false;
+	let isCapacityEnforced = false;
 	const lists = makeLists({
 		source: {list: () => okAsync([{...makeExecutor('e1'), sequence: 1}])},
-		isGuardedService: () => isGuarded,
+		isCapacityEnforcingService: () => isCapacityEnforced,
 	});
 	await lists.refresh();
 	assert.deepEqual(
 		lists.list().map((executor) => executor.isCapacityEnforced),
 		[false],
 	);
-	isGuarded = true;
+	isCapacityEnforced = true;
 	await lists.refresh();
 	assert.deepEqual(
 		lists.list().map((executor) => executor.isCapacityEnforced),
--- a/packages/host/src/scheduling/executor-lists.ts
+++ b/packages/host/src/scheduling/executor-lists.ts
@@ -57,7 +57,7 @@
 	source,
 	isHolder,
 	isKnownService,
-	isGuardedService,
+	isCapacityEnforcingService,
 	onList,
 	now,
 	wait,
@@ -72,7 +72,7 @@
 	*/
 	isKnownService: (service: string) => boolean;
 	/** Whether executors of the service refuse tasks that exceed their capacity. */
-	isGuardedService: (service: string) => boolean;
+	isCapacityEnforcingService: (service: string) => boolean;
 	onList: (executors: readonly Executor[]) => void;
 	now: () => number;
 	wait: (ms: number, signal: AbortSignal) => Promise<void>;
@@ -80,7 +80,7 @@
 	log: (message: string, fields: Record<string, unknown>) => void;
 }): ExecutorLists {
 	let executors: readonly Executor[] = [];
-	const registrations = createExecutorRegistrations(isGuardedService);
+	const registrations = createExecutorRegistrations(isCapacityEnforcingService);
 	let pauseController = new AbortController();
 	/** When a list first lacked an executor that is still kept. */
 	const missingSince = new Map<string, number>();
--- a/packages/host/src/scheduling/executor-registrations.ts
+++ b/packages/host/src/scheduling/executor-registrations.ts
@@ -6,7 +6,10 @@
 capacity back, and a registration whose capacity can't be used does not say how much is left. Either
 would lead to starts that exceed the executor's capacity.
 */
-import {type Executor, type ExecutorWord} from '@gentianshift/scheduling';
+import {
+	type Executor,
+	type ExecutorRegistration,
+} from '@gentianshift/scheduling';
 
 /**
 An executor that has sent a higher sequence number before, and still sends lower ones after this
@@ -14,7 +17,7 @@
 */
 const renumberingMs = 2500;
 
-type KnownRegistration = Pick<ExecutorWord, 'sequence' | 'revision'> & {
+type KnownRegistration = Pick<ExecutorRegistration, 'sequence' | 'revision'> & {
 	executor: Executor;
 	/** Since when lists have brought a lower sequence number than the highest. */
 	lowerSequenceSince?: number;
@@ -27,7 +30,7 @@
 	of this host's clock.
 	*/
 	applyList: (
-		registrations: readonly ExecutorWord[],
+		registrations: readonly ExecutorRegistration[],
 		askedAt: number,
 	) => Executor[];
 	/** Forgets all other executors. */
@@ -41,12 +44,12 @@
 registrations.applyList([{...registration, sequence: 3}], now); // as with sequence 4
 */
 export function createExecutorRegistrations(
-	isGuardedService: (service: string) => boolean,
+	isCapacityEnforcingService: (service: string) => boolean,
 ): ExecutorRegistrations {
 	const known = new Map<string, KnownRegistration>();
 
 	function applyRegistration(
-		registration: ExecutorWord,
+		registration: ExecutorRegistration,
 		askedAt: number,
 	): Executor | undefined {
 		const former = known.get(registration.id);
@@ -68,7 +71,7 @@
 
 		const executor: Executor = {
 			...rest,
-			isCapacityEnforced: isGuardedService(registration.service),
+			isCapacityEnforced: isCapacityEnforcingService(registration.service),
 			capacity: usable.capacity,
 			capacityReadAt: usable.capacityReadAt,
 		};
@@ -93,7 +96,7 @@
 }
 
 function isOlder(
-	registration: ExecutorWord,
+	registration: ExecutorRegistration,
 	former: KnownRegistration,
 	now: number,
 ): boolean {
@@ -116,7 +119,7 @@
 
 /** A registration that is read again keeps the time of its first read. */
 function findFirstReadAt(
-	{sequence, revision}: ExecutorWord,
+	{sequence, revision}: ExecutorRegistration,
 	former: KnownRegistration | undefined,
 ): number | undefined {
 	const isNumbered = sequence !== undefined || revision !== undefined;
--- a/packages/host/src/scheduling/faulty/faulty-host.fixture.ts
+++ b/packages/host/src/scheduling/faulty/faulty-host.fixture.ts
@@ -260,7 +260,7 @@
 					waitWhileFrozen(this.environment.executors.list(options)),
 			},
 			isKnownService: () => true,
-			isGuardedService: () => this.environment.isGuarded,
+			isCapacityEnforcingService: () => this.environment.isGuarded,
 			isHolder: () => roles.holding.scheduler !== undefined,
 			onList(list) {
 				roles.holding.setExecutors(list);
@@ -273,7 +273,7 @@
 		const roles = new HostRoles({
 			dataCentre: this.dataCentre,
 			key: this.key,
-			ownerId: `${this.key}.${this.incarnation}`,
+			processId: `${this.key}.${this.incarnation}`,
 			store: wrapStore(this.environment.store, waitWhileFrozen, (at) =>
 				this.#toMonotonicTime(at),
 			),
--- a/packages/host/src/scheduling/faulty/faulty-store.fixture.ts
+++ b/packages/host/src/scheduling/faulty/faulty-store.fixture.ts
@@ -5,7 +5,7 @@
 import {
 	type CoordinationStore,
 	type Executor,
-	type ExecutorWord,
+	type ExecutorRegistration,
 	type StoreFailure,
 	type StoreItem,
 } from '@gentianshift/scheduling';
@@ -27,11 +27,13 @@
 	/** By executor id: how many faults or crashes hide its registration now. */
 	readonly #unlistedCounts = new Map<string, number>();
 	/** Every list so far, with the time from which it was current. */
-	readonly #listHistory: Array<{since: number; registrations: ExecutorWord[]}> =
-		[];
+	readonly #listHistory: Array<{
+		since: number;
+		registrations: ExecutorRegistration[];
+	}> = [];
 
 	/** The current registration of each executor, by id. */
-	readonly #registrations = new Map<string, ExecutorWord>();
+	readonly #registrations = new Map<string, ExecutorRegistration>();
 
 	constructor(
 		private readonly clock: VirtualClock,
@@ -57,7 +59,7 @@
 	}
 
 	/** Updates the capacity in the executor's registration. */
-	setCapacity(id: string, capacity: ExecutorWord['capacity']): void {
+	setCapacity(id: string, capacity: ExecutorRegistration['capacity']): void {
 		const registration = this.#registrations.get(id)!;
 		const sequence = (registration.sequence ?? 0) + 1;
 		this.#registrations.set(id, {...registration, capacity, sequence});
@@ -172,7 +174,7 @@
 		});
 	}
 
-	#listExecutors(mayBeStale: boolean): ExecutorWord[] {
+	#listExecutors(mayBeStale: boolean): ExecutorRegistration[] {
 		const at = this.clock.now - (mayBeStale ? stalenessMs : 0);
 		const list =
 			this.#listHistory.findLast(({since}) => since <= at) ??
--- a/packages/host/src/scheduling/group-holding.test.ts
+++ b/packages/host/src/scheduling/group-holding.test.ts
@@ -89,7 +89,7 @@
 			onChange() {
 				// Nobody is notified.
 			},
-			takeRoomElsewhere: () => 0,
+			takeCapacityElsewhere: () => 0,
 			isListComplete: () => true,
 			isListFresh: () => true,
 			listPeers: () => [],
--- a/packages/host/src/scheduling/group-holding.ts
+++ b/packages/host/src/scheduling/group-holding.ts
@@ -66,7 +66,7 @@
 	#scheduler: GroupScheduler | undefined;
 	#token = 0;
 	#vacantSince: number | undefined;
-	#isTaking = false;
+	#isTakingOver = false;
 	#noTakeoverBefore = 0;
 	/** The holder that the store names and whose state has not arrived yet, and since when. */
 	#unconfirmedHolder: {id: string; since: number} | undefined;
@@ -144,7 +144,7 @@
 			computeTakeoverDelay(0, {isStoreReached: false});
 		if (
 			vacantMs >= computeTakeoverDelay(rank, {isStoreReached}) &&
-			!this.#isTaking
+			!this.#isTakingOver
 		) {
 			void this.#takeOver(isStoreReached);
 		}
@@ -168,7 +168,7 @@
 	}
 
 	async #takeOver(isStoreReached: boolean): Promise<void> {
-		this.#isTaking = true;
+		this.#isTakingOver = true;
 		const token = isStoreReached
 			? await this.#takeWithStore()
 			: this.#takeWithoutStore();
@@ -178,7 +178,7 @@
 			await this.#options.refreshExecutors();
 		}
 
-		this.#isTaking = false;
+		this.#isTakingOver = false;
 		if (token === undefined) {
 			this.#noTakeoverBefore = this.#options.now() + takeoverRetryMs;
 			return;
--- a/packages/host/src/scheduling/host-dependencies.ts
+++ b/packages/host/src/scheduling/host-dependencies.ts
@@ -5,7 +5,7 @@
 import {type Result, type ResultAsync} from 'neverthrow';
 import {
 	type CoordinationStore,
-	type ExecutorWord,
+	type ExecutorRegistration,
 	type ExecutorControl,
 	type QueueTable,
 	type StoreFailure,
@@ -34,7 +34,7 @@
 	/** The executors' registrations; `mayBeStale`: the list may be some seconds old. */
 	list: (options?: {
 		mayBeStale?: boolean;
-	}) => ResultAsync<ExecutorWord[], StoreFailure>;
+	}) => ResultAsync<ExecutorRegistration[], StoreFailure>;
 };
 
 export type HostDependencies = {
--- a/packages/host/src/scheduling/host-roles.ts
+++ b/packages/host/src/scheduling/host-roles.ts
@@ -30,7 +30,7 @@
 	/** `<data centre>_<host>`. */
 	key: string;
 	/** This process: `<key>.<incarnation>`. */
-	ownerId: string;
+	processId: string;
 	store: CoordinationStore;
 	control: ExecutorControl;
 	executors: Pick<ExecutorLists, 'list' | 'refresh' | 'isComplete' | 'isFresh'>;
@@ -85,7 +85,7 @@
 		this.#options = options;
 		this.holding = this.#createHolding();
 		this.entry = new EntryJobs({
-			self: options.ownerId,
+			self: options.processId,
 			peers: this.#createEntryPeers(),
 			home: options.dataCentre,
 			now: options.now,
@@ -98,7 +98,7 @@
 			onAnswer: options.onAnswer,
 		});
 		this.#localEntry = {
-			key: options.ownerId,
+			key: options.processId,
 			send: (message) => {
 				options.defer(() => {
 					this.entry.receive(options.key, message);
@@ -174,13 +174,13 @@
 	}
 
 	#createHolding(): GroupHolding {
-		const {dataCentre, key, ownerId, store, now, peers, executors, control} =
+		const {dataCentre, key, processId, store, now, peers, executors, control} =
 			this.#options;
 		return new GroupHolding({
 			group: dataCentre,
 			hostKey: key,
-			processId: ownerId,
-			isProcessGone: (processId) => this.#isProcessGone(processId),
+			processId,
+			isProcessGone: (id) => this.#isProcessGone(id),
 			store,
 			groups: this.groups,
 			now,
@@ -198,7 +198,7 @@
 				onChange: () => {
 					this.#sendFirstReadyState();
 				},
-				takeRoomElsewhere: (cpu, tasks) =>
+				takeCapacityElsewhere: (cpu, tasks) =>
 					this.groups.takeElsewhere({home: dataCentre, cpu, tasks}, now()),
 				isListComplete: () => executors.isComplete(),
 				isListFresh: () => executors.isFresh(),
@@ -247,11 +247,11 @@
 	#chooseSuccessor(): string | undefined {
 		const {key, peers, now} = this.#options;
 		const [strongest] = peers.listCandidates();
-		const contender =
+		const candidate =
 			strongest === undefined
 				? undefined
 				: {key: strongest, cores: peers.getCores(strongest)};
-		return this.#succession.choose(contender, {
+		return this.#succession.choose(candidate, {
 			ownCores: peers.getCores(key),
 			now: now(),
 		});
--- a/packages/host/src/scheduling/queue-tables.ts
+++ b/packages/host/src/scheduling/queue-tables.ts
@@ -39,7 +39,7 @@
 	Whether executors of the service refuse tasks that exceed their capacity; false while that is
 	not known.
 	*/
-	isGuardedService: (service: string) => boolean;
+	isCapacityEnforcingService: (service: string) => boolean;
 	/**
 	Resolves as soon as a table is in force; with undefined, at once, when the time for the first
 	one is over.
@@ -141,7 +141,7 @@
 		getTable: () => table,
 		isKnownService: (service) =>
 			table === undefined || knownServices.has(service),
-		isGuardedService: (service) =>
+		isCapacityEnforcingService: (service) =>
 			table?.capacityEnforcingServices.includes(service) ?? false,
 		async waitForTable() {
 			await firstTableWait;
--- a/packages/host/src/scheduling/start-scheduling-host.ts
+++ b/packages/host/src/scheduling/start-scheduling-host.ts
@@ -123,11 +123,11 @@
 	constructor(options: SchedulingHostOptions, hash: Hash64) {
 		this.#options = options;
 		this.#identity = createIdentity({host: options.host});
-		const {log, dependencies: surroundings, address} = options;
+		const {log, dependencies, address} = options;
 		const {random} = Math;
 		this.#presence = createHostPresence({
 			self: {...options.host, role: 'entry', address, state: 'live'},
-			store: surroundings.store,
+			store: dependencies.store,
 			random,
 			onRegistered: () => {
 				void this.#directory.readListAgain();
@@ -148,7 +148,7 @@
 			},
 		});
 		this.#tables = createQueueTables({
-			source: surroundings.queueTables,
+			source: dependencies.queueTables,
 			sendToPeers: (message) => {
 				this.#roles.sendToPeers(message);
 			},
@@ -156,10 +156,11 @@
 			log,
 		});
 		this.#executors = createExecutorLists({
-			source: surroundings.executors,
+			source: dependencies.executors,
 			isHolder: () => this.#roles.holding.scheduler !== undefined,
 			isKnownService: (service) => this.#tables.isKnownService(service),
-			isGuardedService: (service) => this.#tables.isGuardedService(service),
+			isCapacityEnforcingService: (service) =>
+				this.#tables.isCapacityEnforcingService(service),
 			onList: (list) => {
 				this.#roles.holding.setExecutors(list);
 			},
@@ -218,7 +219,7 @@
 
 	isReady(): boolean {
 		const {groups, isStopping} = this.#roles;
-		const hasOpenGroup = groups.listRooms(readNow()).length > 0;
+		const hasOpenGroup = groups.listOpen(readNow()).length > 0;
 		return !isStopping && this.getTable() !== undefined && hasOpenGroup;
 	}
 
@@ -263,15 +264,15 @@
 	}
 
 	#createRoles(): HostRoles {
-		const {dependencies: surroundings, log, host, metrics} = this.#options;
+		const {dependencies, log, host, metrics} = this.#options;
 		const {key, ownerId} = this.#identity;
 		const {view} = this.#directory;
 		return new HostRoles({
 			dataCentre: host.dataCentre,
 			key,
-			ownerId,
-			store: surroundings.store,
-			control: wrapControl(surroundings.control, metrics),
+			processId: ownerId,
+			store: dependencies.store,
+			control: wrapControl(dependencies.control, metrics),
 			executors: this.#executors,
 			peers: {
 				listLinks: () => this.#mesh.listLinks(),
@@ -302,7 +303,7 @@
 
 	#reportAnswer(job: EntryJob, answer: JobAnswer, tookMs: number): void {
 		const {log, metrics} = this.#options;
-		const {arrivedAt, firstStartReportedAt: startToldAt} = job;
+		const {arrivedAt, firstStartReportedAt} = job;
 		recordAnswer(metrics, job, answer, tookMs);
 		log('job answered', {
 			job: job.request.id,
@@ -311,9 +312,9 @@
 			requestsBefore: job.request.requestsBefore,
 			tookMs: Math.round(tookMs),
 			firstStartMs:
-				startToldAt === undefined
+				firstStartReportedAt === undefined
 					? undefined
-					: Math.round(startToldAt - arrivedAt),
+					: Math.round(firstStartReportedAt - arrivedAt),
 			objectiveMs: Math.round(job.dueAt - arrivedAt),
 			timeLeftMs: Math.round(job.callerDeadlineAt - arrivedAt),
 			...answer,
--- a/packages/scheduling/src/changing-capacity.test.ts
+++ b/packages/scheduling/src/changing-capacity.test.ts
@@ -162,14 +162,14 @@
 The first holder starts a large task and closes. The second one receives the part of another job before that of the
 large task.
 */
-async function takeOver(isGuarded: boolean) {
+async function takeOver(isCapacityEnforced: boolean) {
 	const starts: string[] = [];
 	const clock = new VirtualClock();
 	const executors = createFakeExecutors(clock, {
 		count: 1,
 		taskMs: 600,
 		getDemand: (job) => (job === 'large' ? large : demand),
-		isCapacityEnforced: isGuarded,
+		isCapacityEnforced,
 		decideOutcome({kind, token}) {
 			if (kind === 'start' && token === 2) {
 				starts.push(`${clock.now}`);
--- a/packages/scheduling/src/crash-watch.test.ts
+++ b/packages/scheduling/src/crash-watch.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {createCrashWatch} from './crash-watch.js';
-import {noDemand} from './room.js';
+import {noDemand} from './free-capacity.js';
 import {type Run} from './run.js';
 
 function makeRun(index: number, run: Partial<Run> = {}): Run {
--- a/packages/scheduling/src/crashes.test.ts
+++ b/packages/scheduling/src/crashes.test.ts
@@ -27,8 +27,8 @@
 }
 
 /** Largest number of executors that a message to the entry lists as crashed under the task. */
-function countCrashes(told: readonly Ends[], index = 0): number {
-	const rows = told.flatMap(({crashes = []}) => crashes);
+function countCrashes(endMessages: readonly Ends[], index = 0): number {
+	const rows = endMessages.flatMap(({crashes = []}) => crashes);
 	return Math.max(
 		0,
 		...rows
--- a/packages/scheduling/src/entry-jobs.ts
+++ b/packages/scheduling/src/entry-jobs.ts
@@ -364,7 +364,7 @@
 	/** Handles time-outs, lost tasks and waiting jobs; to be called about every 50 ms. */
 	update(): void {
 		const now = this.#ports.now();
-		if (this.#ports.groups.listRooms(now).length > 0) {
+		if (this.#ports.groups.listOpen(now).length > 0) {
 			this.#schedulerReachableAt = now;
 		}
 
@@ -583,12 +583,12 @@
 		const ports = this.#ports;
 		const now = ports.now();
 		const {queue, demand} = job.request;
-		const rooms = ports.groups
-			.listRooms(now)
-			.map((room) =>
-				room.group === avoidedGroup ? {...room, free: []} : room,
+		const openGroups = ports.groups
+			.listOpen(now)
+			.map((known) =>
+				known.group === avoidedGroup ? {...known, free: []} : known,
 			);
-		if (rooms.length === 0) {
+		if (openGroups.length === 0) {
 			this.#waitForScheduler(job, now);
 			return;
 		}
@@ -603,7 +603,7 @@
 
 		this.#extendAdmission(job, now);
 
-		const spread = placeJob(rooms, {
+		const spread = placeJob(openGroups, {
 			count: tasks.length,
 			demand,
 			priority: queue.priority,
@@ -692,7 +692,11 @@
 			this.#replaceClaim(job, group);
 		}
 
-		this.#ports.groups.takeRoom(group, job.request.demand.cpu, tasks.length);
+		this.#ports.groups.takeCapacity(
+			group,
+			job.request.demand.cpu,
+			tasks.length,
+		);
 		this.#sendPart(job, group, tasks, false);
 	}
 
--- a/packages/scheduling/src/executor-session.ts
+++ b/packages/scheduling/src/executor-session.ts
@@ -21,9 +21,14 @@
 import {createTrust, recordFailure} from './executor-trust.js';
 import {type Executor} from './executor.js';
 import {type ExecutorCandidate} from './place-task.js';
-import {hasRoom, noDemand, noRoom, removeDemand} from './room.js';
+import {
+	coversDemand,
+	noDemand,
+	noFreeCapacity,
+	removeDemand,
+} from './free-capacity.js';
 import {createRunTable} from './run-table.js';
-import {createRunOrders, orderRetryMs, type RunOrders} from './run-orders.js';
+import {createRunCalls, callRetryMs, type RunCalls} from './run-calls.js';
 import {formatTaskKey, type Run, type RunOutcome} from './run.js';
 import {
 	claimLimitMs,
@@ -86,7 +91,7 @@
 	#executor: Executor;
 	readonly #runTable = createRunTable();
 	readonly #lease = createExecutorLease();
-	readonly #orders: RunOrders;
+	readonly #calls: RunCalls;
 	readonly #crashWatch: CrashWatch;
 	#isListed = true;
 	/** Number of renewals in a row without an answer. */
@@ -104,7 +109,7 @@
 		private readonly ports: SessionPorts,
 	) {
 		this.#executor = executor;
-		this.#orders = this.#createOrders();
+		this.#calls = this.#createCalls();
 		this.#crashWatch = createCrashWatch({
 			isDraining: () => this.isDraining,
 			onSilence: (runs) => {
@@ -153,7 +158,7 @@
 	/** Free capacity. Negative if the capacity has shrunk below what the runs use. */
 	get free(): TaskDemand {
 		return this.ports.now() < this.#fullUntil || this.#hasUnknownRuns()
-			? noRoom
+			? noFreeCapacity
 			: removeDemand(this.#executor.capacity, this.#runTable.usedDemand);
 	}
 
@@ -239,7 +244,7 @@
 			isUnclaimed: false,
 		};
 		this.#runTable.add(run);
-		this.#orders.start(run, spec);
+		this.#calls.start(run, spec);
 		this.#idlePause?.end();
 	}
 
@@ -248,7 +253,7 @@
 	host's clock.
 	*/
 	stop(run: Run, stopBy: number): void {
-		this.#orders.stop(run, stopBy);
+		this.#calls.stop(run, stopBy);
 		this.#idlePause?.end();
 	}
 
@@ -286,9 +291,9 @@
 		return this.#runTable.takeUnclaimedEnd(task);
 	}
 
-	#createOrders(): RunOrders {
+	#createCalls(): RunCalls {
 		const {now, wait, control, getToken, answerTimes, log} = this.ports;
-		return createRunOrders({
+		return createRunCalls({
 			answerTimes,
 			now,
 			wait,
@@ -302,7 +307,7 @@
 				this.#setClock(clockMs);
 			},
 			onFailure: (failure, call) => {
-				this.#handleOrderFailure(failure, call);
+				this.#handleCallFailure(failure, call);
 			},
 			onStopped: () => {
 				void this.#fetchReport();
@@ -414,7 +419,7 @@
 		}
 
 		this.#handleFailure(failure, 'renewal');
-		return orderRetryMs;
+		return callRetryMs;
 	}
 
 	/** Extends the lease as far as its runs allow; returns its new end on the executor's clock. */
@@ -517,11 +522,11 @@
 	#hasUnknownRuns(): boolean {
 		return (
 			!this.#executor.isCapacityEnforced &&
-			[...this.runs.values()].some(({isUnclaimed: isFound}) => isFound)
+			[...this.runs.values()].some(({isUnclaimed}) => isUnclaimed)
 		);
 	}
 
-	#handleOrderFailure(failure: CallFailure, call: 'start' | 'stop'): void {
+	#handleCallFailure(failure: CallFailure, call: 'start' | 'stop'): void {
 		if (failure.clockMs !== undefined) {
 			this.#setClock(failure.clockMs);
 		}
@@ -661,5 +666,5 @@
 }
 
 function isSameDemand(a: TaskDemand, b: TaskDemand): boolean {
-	return hasRoom(a, b) && hasRoom(b, a);
+	return coversDemand(a, b) && coversDemand(b, a);
 }
--- a/packages/scheduling/src/executor-trust.ts
+++ b/packages/scheduling/src/executor-trust.ts
@@ -97,11 +97,11 @@
 /** When the pause ends after `inRow` failures or overdue runs in a row. */
 function computePauseEnd(
 	inRow: number,
-	restsUntil: number,
+	pausedUntil: number,
 	now: number,
 ): number {
 	const aboveThreshold = inRow - doubtThreshold;
 	return aboveThreshold < 0
-		? restsUntil
+		? pausedUntil
 		: now + Math.min(longestPauseMs, firstPauseMs * 2 ** aboveThreshold);
 }
--- a/packages/scheduling/src/fake-executors.fixture.ts
+++ b/packages/scheduling/src/fake-executors.fixture.ts
@@ -14,7 +14,12 @@
 	type StopRequest,
 } from './executor-control.js';
 import {type Executor} from './executor.js';
-import {addDemand, hasRoom, noDemand, removeDemand} from './room.js';
+import {
+	addDemand,
+	coversDemand,
+	noDemand,
+	removeDemand,
+} from './free-capacity.js';
 import {type VirtualClock} from './virtual-clock.fixture.js';
 
 export type FakeRun = RunName & {
@@ -257,7 +262,10 @@
 		}
 
 		const free = removeDemand(fake.executor.capacity, sumUsed(fake));
-		if (fake.executor.isCapacityEnforced && !hasRoom(free, getDemand(job))) {
+		if (
+			fake.executor.isCapacityEnforced &&
+			!coversDemand(free, getDemand(job))
+		) {
 			return refuse('no-room', clock.now);
 		}
 
@@ -556,7 +564,9 @@
 		);
 		const hasFit = fake.capacityHistory
 			.slice(firstIndex)
-			.some(({at, capacity}) => at <= startedAt && hasRoom(capacity, used));
+			.some(
+				({at, capacity}) => at <= startedAt && coversDemand(capacity, used),
+			);
 		return fake.executor.isCapacityEnforced || hasFit
 			? []
 			: [`${job}/${index} on ${executor} at ${startedAt}: ${used.cpu} in use`];
--- a/packages/scheduling/src/room.ts
+++ b/packages/scheduling/src/free-capacity.ts
@@ -7,7 +7,11 @@
 export const noDemand: TaskDemand = {cpu: 0, memoryMb: 0, accelerators: 0};
 
 /** Free capacity of an executor that must get no task: negative, so that not even a demand of zero fits. */
-export const noRoom: TaskDemand = {cpu: -1, memoryMb: -1, accelerators: -1};
+export const noFreeCapacity: TaskDemand = {
+	cpu: -1,
+	memoryMb: -1,
+	accelerators: -1,
+};
 
 export function addDemand(a: TaskDemand, b: TaskDemand): TaskDemand {
 	return {
@@ -25,7 +29,7 @@
 	};
 }
 
-export function hasRoom(free: TaskDemand, demand: TaskDemand): boolean {
+export function coversDemand(free: TaskDemand, demand: TaskDemand): boolean {
 	return (
 		free.cpu >= demand.cpu &&
 		free.memoryMb >= demand.memoryMb &&
@@ -45,8 +49,8 @@
 	}
 
 	let fits = 0;
-	for (const room of free) {
-		fits += Math.max(0, Math.floor(room / cpu));
+	for (const cpuFree of free) {
+		fits += Math.max(0, Math.floor(cpuFree / cpu));
 	}
 
 	return fits;
--- a/packages/scheduling/src/group-directory.test.ts
+++ b/packages/scheduling/src/group-directory.test.ts
@@ -12,7 +12,7 @@
 	groups: ReturnType<typeof createGroupDirectory>,
 	now: number,
 ): string[] {
-	const spread = placeJob(groups.listRooms(now), {
+	const spread = placeJob(groups.listOpen(now), {
 		count: 2,
 		demand: {cpu: 14_000, memoryMb: 64, accelerators: 0},
 		priority: 0,
--- a/packages/scheduling/src/group-directory.ts
+++ b/packages/scheduling/src/group-directory.ts
@@ -3,8 +3,8 @@
 has been silent, and how much free capacity the group has.
 */
 import {type GroupState} from '@gentianshift/protocol';
-import {type GroupRoom} from './place-job.js';
-import {countFits, takeFits} from './room.js';
+import {type OpenGroup} from './place-job.js';
+import {countFits, takeFits} from './free-capacity.js';
 import {stateLateMs, stateStaleMs} from './timing.js';
 
 export type KnownGroup = {
@@ -25,7 +25,7 @@
 	findGroup: (group: string) => KnownGroup | undefined;
 	list: () => KnownGroup[];
 	/** Subtracts tasks sent to a group from its free capacity, until its next state arrives. */
-	takeRoom: (group: string, cpu: number, tasks: number) => void;
+	takeCapacity: (group: string, cpu: number, tasks: number) => void;
 	/** Reserves free capacity for tasks of that size in groups other than `home`; returns for how many tasks. */
 	takeElsewhere: (
 		request: {home: string; cpu: number; tasks: number},
@@ -36,18 +36,15 @@
 	silent for some tenths of a second before it counts as gone. Tasks sent to it in that time come back too late for jobs with short objectives. So a group
 	from which states are missing is listed with no free capacity, and is used only if no other group has any.
 	*/
-	listRooms: (now: number) => GroupRoom[];
+	listOpen: (now: number) => OpenGroup[];
 	/** One line of text about each group, for the log. */
 	describe: (now: number) => string[];
 	/** The connection to a holder broke: its groups count as silent unless its next state arrives within half of the usual time. */
 	markDoubtful: (holder: string, now: number) => void;
 };
 
-export function isSilent(
-	{lastHeardAt: heardAt}: KnownGroup,
-	now: number,
-): boolean {
-	return now - heardAt > stateStaleMs;
+export function isSilent({lastHeardAt}: KnownGroup, now: number): boolean {
+	return now - lastHeardAt > stateStaleMs;
 }
 
 /**
@@ -90,7 +87,7 @@
 		},
 		findGroup: (group) => groups.get(group),
 		list: () => [...groups.values()],
-		takeRoom(group, cpu, tasks) {
+		takeCapacity(group, cpu, tasks) {
 			const known = groups.get(group);
 			if (known) {
 				known.free = takeFits(known.free, cpu, tasks);
@@ -98,17 +95,17 @@
 		},
 		takeElsewhere({home, cpu, tasks}, now) {
 			let taken = 0;
-			for (const {group, free} of directory.listRooms(now)) {
+			for (const {group, free} of directory.listOpen(now)) {
 				if (group !== home) {
 					const fits = Math.min(tasks - taken, countFits(free, cpu));
-					directory.takeRoom(group, cpu, fits);
+					directory.takeCapacity(group, cpu, fits);
 					taken += fits;
 				}
 			}
 
 			return taken;
 		},
-		listRooms: (now) =>
+		listOpen: (now) =>
 			[...groups.values()]
 				.filter(
 					(known) =>
@@ -116,22 +113,20 @@
 						!known.state.isReleased &&
 						known.state.capacity > 0,
 				)
-				.map(({state, free, lastHeardAt: heardAt}) => ({
+				.map(({state, free, lastHeardAt}) => ({
 					group: state.group,
-					free: now - heardAt > stateLateMs ? [] : free,
+					free: now - lastHeardAt > stateLateMs ? [] : free,
 					capacity: state.capacity,
 					backlog: state.backlog,
 					lateBacklog: state.lateBacklog,
 					running: state.running,
 				})),
 		describe: (now) =>
-			[...groups.values()].map(
-				({state, holder, lastHeardAt: heardAt, free}) => {
-					const ageMs = Math.round(now - heardAt);
-					const released = state.isReleased ? ' released' : '';
-					return `${state.group}: ${holder} token ${state.token}${released}, last state ${ageMs} ms ago, ${free.length} executors open, capacity ${state.capacity}`;
-				},
-			),
+			[...groups.values()].map(({state, holder, lastHeardAt, free}) => {
+				const ageMs = Math.round(now - lastHeardAt);
+				const released = state.isReleased ? ' released' : '';
+				return `${state.group}: ${holder} token ${state.token}${released}, last state ${ageMs} ms ago, ${free.length} executors open, capacity ${state.capacity}`;
+			}),
 		markDoubtful(holder, now) {
 			for (const known of groups.values()) {
 				if (known.holder === holder) {
--- a/packages/scheduling/src/group-scheduler.fixture.ts
+++ b/packages/scheduling/src/group-scheduler.fixture.ts
@@ -40,20 +40,20 @@
 	{control, executors}: FakeExecutors,
 	token: number,
 	{
-		roomElsewhere = 0,
+		capacityElsewhere = 0,
 		isListComplete = true,
 		peers = [],
 		log = () => undefined,
 	}: {
 		/** Number of tasks for which other groups have free capacity. */
-		roomElsewhere?: number;
+		capacityElsewhere?: number;
 		isListComplete?: boolean;
 		/** Keys of the other hosts. */
 		peers?: readonly string[];
 		log?: (message: string, fields: Record<string, unknown>) => void;
 	} = {},
 ): GroupScheduler {
-	let roomLeftElsewhere = roomElsewhere;
+	let capacityLeftElsewhere = capacityElsewhere;
 	const scheduler = new GroupScheduler({
 		group: 'mieres',
 		token,
@@ -69,9 +69,9 @@
 		onChange() {
 			// These tests need no notification.
 		},
-		takeRoomElsewhere(_cpu, tasks) {
-			const taken = Math.min(tasks, roomLeftElsewhere);
-			roomLeftElsewhere -= taken;
+		takeCapacityElsewhere(_cpu, tasks) {
+			const taken = Math.min(tasks, capacityLeftElsewhere);
+			capacityLeftElsewhere -= taken;
 			return taken;
 		},
 		listPeers: () => peers,
@@ -161,10 +161,6 @@
 	}
 }
 
-export function listOutcomes({
-	endMessages: told,
-}: {
-	endMessages: Ends[];
-}): string[] {
-	return told.flatMap(({ends}) => ends.map(({outcome}) => outcome));
+export function listOutcomes({endMessages}: {endMessages: Ends[]}): string[] {
+	return endMessages.flatMap(({ends}) => ends.map(({outcome}) => outcome));
 }
--- a/packages/scheduling/src/group-scheduler.test.ts
+++ b/packages/scheduling/src/group-scheduler.test.ts
@@ -374,7 +374,7 @@
 	const clock = new VirtualClock();
 	const executors = createFakeExecutors(clock, {count: 1});
 	const scheduler = createScheduler(clock, executors, 1, {
-		roomElsewhere: 3,
+		capacityElsewhere: 3,
 	});
 	const entry = createEntry();
 	await clock.run(10);
@@ -408,7 +408,7 @@
 	const clock = new VirtualClock();
 	const executors = createFakeExecutors(clock, {count: 1});
 	const scheduler = createScheduler(clock, executors, 1, {
-		roomElsewhere: 1,
+		capacityElsewhere: 1,
 	});
 	const entry = createEntry();
 	await clock.run(10);
@@ -470,7 +470,7 @@
 	first.receivePart(entry, part);
 	await runFor(clock, 200, [[first, entry]]);
 	const second = createScheduler(clock, executors, 2, {
-		roomElsewhere: 5,
+		capacityElsewhere: 5,
 	});
 	const moved = {...part, stateAt: clock.now, isMoved: true, admitInMs: 100};
 	second.receivePart(entry, moved);
--- a/packages/scheduling/src/group-scheduler.ts
+++ b/packages/scheduling/src/group-scheduler.ts
@@ -45,7 +45,7 @@
 import {placeWaiting} from './place-waiting.js';
 import {isTooLate, measureLoad} from './measure-load.js';
 import {createPlacingRound} from './placing-round.js';
-import {countFits, hasRoom, noDemand} from './room.js';
+import {countFits, coversDemand, noDemand} from './free-capacity.js';
 import {type Run, type RunOutcome} from './run.js';
 import {type RunTimes} from './run-times.js';
 import {createStartLog, type StartLog} from './start-log.js';
@@ -88,7 +88,7 @@
 	Reserves free capacity in other groups, as far as this host knows it, for tasks of `cpu` thousandths of a core;
 	returns for how many of `tasks`.
 	*/
-	takeRoomElsewhere: (cpu: number, tasks: number) => number;
+	takeCapacityElsewhere: (cpu: number, tasks: number) => number;
 	/**
 	Whether the list of the group's executors is complete: none is missing because its registration had expired
 	for a while.
@@ -245,7 +245,11 @@
 			this.#claimTask(job, task);
 		}
 
-		if (!job.isStarted && !part.isMoved && this.#hasNoRoomInTime(job, part)) {
+		if (
+			!job.isStarted &&
+			!part.isMoved &&
+			this.#hasNoCapacityInTime(job, part)
+		) {
 			this.#giveBack(job, 'full');
 		}
 
@@ -282,11 +286,11 @@
 		}
 
 		const job = this.#jobs.get(id);
-		const isMeant =
+		const isMatch =
 			job?.entry.key === entry.key &&
 			job.takenAtMs <= takenAtMs &&
 			job.claim <= (claim ?? Infinity);
-		if (isMeant) {
+		if (isMatch) {
 			this.#dropAndStop(job, this.ports.now() + dropStopLimitMs);
 			this.#runPlacingRound();
 		}
@@ -359,7 +363,8 @@
 			isReleased: this.#isClosed,
 			storeAgeMs: this.ports.getStoreAgeMs(),
 			free: open.map((session) =>
-				hasRoom(session.free, noDemand) && !this.#crashes.hasSuspectRun(session)
+				coversDemand(session.free, noDemand) &&
+				!this.#crashes.hasSuspectRun(session)
 					? session.free.cpu
 					: 0,
 			),
@@ -473,7 +478,7 @@
 	Whether a job that has to wait would end too late. Entries judge by a state message that is some time old;
 	when many jobs arrive at once, each entry would use the same free capacity, and all these jobs would be late.
 	*/
-	#hasNoRoomInTime(job: GroupJob, {admitInMs, tasks}: Part): boolean {
+	#hasNoCapacityInTime(job: GroupJob, {admitInMs, tasks}: Part): boolean {
 		const state = this.describeState();
 		const fits = countFits(state.free, job.demand.cpu);
 		const limits = {
@@ -587,7 +592,7 @@
 		const open = this.#placeSuspects(waiting, now);
 		placeWaiting(
 			waiting,
-			createPlacingRound(open, now, this.ports.takeRoomElsewhere),
+			createPlacingRound(open, now, this.ports.takeCapacityElsewhere),
 			{
 				listStartable: (job) => this.#listStartable(job),
 				isSound: ({id}, {index}) =>
--- a/packages/scheduling/src/index.ts
+++ b/packages/scheduling/src/index.ts
@@ -1,7 +1,4 @@
-export {
-	type Executor,
-	type ExecutorRegistration as ExecutorWord,
-} from './executor.js';
+export {type Executor, type ExecutorRegistration} from './executor.js';
 export {type EntryPeers} from './copy-recall.js';
 export * from './crash-records.js';
 export * from './process-id.js';
--- a/packages/scheduling/src/lease-cap.ts
+++ b/packages/scheduling/src/lease-cap.ts
@@ -26,12 +26,14 @@
 }
 
 function computeRunCap(
-	{job, isUnclaimed: isFound, startedAt, stopBy}: Run,
+	{job, isUnclaimed, startedAt, stopBy}: Run,
 	getClaimLimit: (job: string) => number,
 ): number {
 	if (stopBy !== undefined) {
 		return stopBy;
 	}
 
-	return isFound ? startedAt + claimLimitMs + stopLimitMs : getClaimLimit(job);
+	return isUnclaimed
+		? startedAt + claimLimitMs + stopLimitMs
+		: getClaimLimit(job);
 }
--- a/packages/scheduling/src/load-system.fixture.ts
+++ b/packages/scheduling/src/load-system.fixture.ts
@@ -221,7 +221,7 @@
 		crashes,
 		onFenced: doNothing,
 		onChange: doNothing,
-		takeRoomElsewhere: (cpu, tasks) =>
+		takeCapacityElsewhere: (cpu, tasks) =>
 			directory.takeElsewhere({home: name, cpu, tasks}, clock.now),
 		isListComplete: () => true,
 		isListFresh: () => true,
--- a/packages/scheduling/src/overdue-runs.ts
+++ b/packages/scheduling/src/overdue-runs.ts
@@ -10,7 +10,7 @@
 import {isDoubted, recordOverdue} from './executor-trust.js';
 import {isPastLatestStart, type GroupJob, type GroupTask} from './group-job.js';
 import {listOverdue, maxMoves} from './judge-run.js';
-import {hasRoom} from './room.js';
+import {coversDemand} from './free-capacity.js';
 import {formatTaskKey} from './run.js';
 import {dropStopLimitMs, stopLimitMs} from './timing.js';
 
@@ -53,7 +53,7 @@
 
 	const isMoved =
 		!isPastLatestStart(job, now + stopLimitMs) &&
-		hasRoomElsewhere(job, task, sessions);
+		hasCapacityElsewhere(job, task, sessions);
 	if (isNewlyOverdue || isMoved) {
 		log('run is overdue', {
 			job: job.id,
@@ -75,7 +75,7 @@
 Whether another executor has free capacity for the task now: one that is not doubted, and on which no earlier run of the
 task was unsuccessful.
 */
-function hasRoomElsewhere(
+function hasCapacityElsewhere(
 	{service, demand}: GroupJob,
 	{executor, avoid, moves}: GroupTask,
 	sessions: Sessions,
@@ -89,7 +89,7 @@
 				!avoid.has(other.id) &&
 				!isDoubted(other.trust) &&
 				other.service === service &&
-				hasRoom(other.free, demand),
+				coversDemand(other.free, demand),
 		)
 	);
 }
--- a/packages/scheduling/src/place-job.test.ts
+++ b/packages/scheduling/src/place-job.test.ts
@@ -5,11 +5,11 @@
 import {test} from 'node:test';
 import {
 	placeJob,
-	type GroupRoom,
+	type OpenGroup,
 	type JobPlacementRequest,
 } from './place-job.js';
 
-function makeRoom(group: string, room: Partial<GroupRoom> = {}): GroupRoom {
+function makeGroup(group: string, fields: Partial<OpenGroup> = {}): OpenGroup {
 	return {
 		group,
 		free: [32_000, 32_000],
@@ -17,7 +17,7 @@
 		backlog: [0, 0, 0, 0],
 		lateBacklog: [0, 0, 0, 0],
 		running: [0, 0, 0, 0],
-		...room,
+		...fields,
 	};
 }
 
@@ -38,7 +38,7 @@
 
 test('a job stays in its own data centre while it has free capacity there', () => {
 	const placed = placeJob(
-		[makeRoom('langreo'), makeRoom('mieres')],
+		[makeGroup('langreo'), makeGroup('mieres')],
 		makeRequest(),
 	);
 	assert.deepEqual(placed, {type: 'placed', shares: new Map([['mieres', 2]])});
@@ -48,7 +48,7 @@
 // executors of the next data centre, a millisecond away, are idle.
 test('a job with more tasks than its own data centre can run at once is split', () => {
 	const placed = placeJob(
-		[makeRoom('mieres'), makeRoom('langreo')],
+		[makeGroup('mieres'), makeGroup('langreo')],
 		makeRequest({count: 6}),
 	);
 	assert.deepEqual(placed, {
@@ -63,8 +63,8 @@
 // One data centre gets many jobs and the others few. If it refused jobs, callers would be turned away although
 // other data centres have free capacity.
 test('work is shifted to another data centre before it is refused', () => {
-	const full = makeRoom('mieres', {free: [1000], backlog: [0, 1e9, 0, 0]});
-	const placed = placeJob([full, makeRoom('langreo')], makeRequest());
+	const full = makeGroup('mieres', {free: [1000], backlog: [0, 1e9, 0, 0]});
+	const placed = placeJob([full, makeGroup('langreo')], makeRequest());
 	assert.deepEqual(placed, {type: 'placed', shares: new Map([['langreo', 2]])});
 });
 
@@ -73,7 +73,7 @@
 test('a job that no group can end in time is refused at once, with the time to retry after', () => {
 	const full = {free: [0, 0], backlog: [0, 1e9, 0, 0]};
 	const placed = placeJob(
-		[makeRoom('mieres', full), makeRoom('langreo', full)],
+		[makeGroup('mieres', full), makeGroup('langreo', full)],
 		makeRequest(),
 	);
 	assert.equal(placed.type, 'refused');
@@ -81,7 +81,7 @@
 });
 
 test('urgent work does not wait behind less urgent work', () => {
-	const full = makeRoom('mieres', {free: [0], backlog: [0, 0, 1e9, 0]});
+	const full = makeGroup('mieres', {free: [0], backlog: [0, 0, 1e9, 0]});
 	const urgent = placeJob([full], makeRequest({priority: 0}));
 	const patient = placeJob([full], makeRequest({priority: 2}));
 	assert.equal(urgent.type, 'placed');
@@ -91,13 +91,13 @@
 // Urgent work uses most of the group and keeps arriving. Less urgent work waits far longer than the queue
 // before it suggests; if it were admitted, it would be given up seconds later.
 test('capacity that more urgent work uses is not counted as available', () => {
-	const room = makeRoom('mieres', {
+	const group = makeGroup('mieres', {
 		free: [0],
 		backlog: [0, 2_000_000, 0, 0],
 		running: [50_000, 14_000, 0, 0],
 	});
-	assert.equal(placeJob([room], makeRequest({priority: 0})).type, 'placed');
-	assert.equal(placeJob([room], makeRequest({limitMs: 300})).type, 'refused');
+	assert.equal(placeJob([group], makeRequest({priority: 0})).type, 'placed');
+	assert.equal(placeJob([group], makeRequest({limitMs: 300})).type, 'refused');
 });
 
 // All hosts lost power for a second, and the queues are full of jobs that waited through it and will be late. A
@@ -105,13 +105,13 @@
 // executors are about to be free.
 test('a job that can be in time is not refused because of work that will be late', () => {
 	const late = {free: [0], lateBacklog: [0, 1e8, 0, 0]};
-	const fresh = placeJob([makeRoom('mieres', late)], makeRequest());
+	const fresh = placeJob([makeGroup('mieres', late)], makeRequest());
 	assert.equal(fresh.type, 'placed');
 	const another = makeRequest({isLate: true});
-	assert.equal(placeJob([makeRoom('mieres', late)], another).type, 'refused');
+	assert.equal(placeJob([makeGroup('mieres', late)], another).type, 'refused');
 	const lessUrgent = makeRequest({priority: 2});
 	assert.equal(
-		placeJob([makeRoom('mieres', late)], lessUrgent).type,
+		placeJob([makeGroup('mieres', late)], lessUrgent).type,
 		'refused',
 	);
 });
--- a/packages/scheduling/src/place-job.ts
+++ b/packages/scheduling/src/place-job.ts
@@ -9,9 +9,9 @@
 although it will be late delays the jobs that come after it, and in the end all are late.
 */
 import {type TaskDemand} from '@gentianshift/protocol';
-import {countFits} from './room.js';
+import {countFits} from './free-capacity.js';
 
-export type GroupRoom = {
+export type OpenGroup = {
 	group: string;
 	/** Free processor of each open executor, in thousandths of a core. */
 	free: readonly number[];
@@ -59,7 +59,7 @@
 would have been started next.
 */
 export function estimateWaitMs(
-	{capacity, backlog, lateBacklog, running}: Omit<GroupRoom, 'group' | 'free'>,
+	{capacity, backlog, lateBacklog, running}: Omit<OpenGroup, 'group' | 'free'>,
 	{
 		demand: {cpu},
 		priority,
@@ -90,19 +90,19 @@
 }
 
 export function placeJob(
-	rooms: readonly GroupRoom[],
+	candidates: readonly OpenGroup[],
 	request: JobPlacementRequest,
 ): JobPlacement {
 	const shares = new Map<string, number>();
-	const ranked = rankRooms(rooms, request);
+	const ranked = rankGroups(candidates, request);
 	let unplaced = request.count;
-	for (const room of ranked) {
+	for (const candidate of ranked) {
 		const startable = Math.min(
 			unplaced,
-			countFits(room.free, request.demand.cpu),
+			countFits(candidate.free, request.demand.cpu),
 		);
 		if (startable > 0) {
-			shares.set(room.group, startable);
+			shares.set(candidate.group, startable);
 			unplaced -= startable;
 		}
 	}
@@ -113,9 +113,9 @@
 
 	const tasksPerGroup = Math.ceil(unplaced / Math.max(1, ranked.length));
 	const waits = ranked
-		.map((room) => ({
-			room,
-			waitMs: estimateWaitMs(room, request, tasksPerGroup),
+		.map((candidate) => ({
+			candidate,
+			waitMs: estimateWaitMs(candidate, request, tasksPerGroup),
 		}))
 		.toSorted((a, b) => a.waitMs - b.waitMs);
 	const shortest = waits[0];
@@ -131,11 +131,11 @@
 }
 
 /** Sorts the entry's own data centre first, then the groups with the most free capacity. */
-function rankRooms(
-	rooms: readonly GroupRoom[],
+function rankGroups(
+	candidates: readonly OpenGroup[],
 	{home, demand: {cpu}}: JobPlacementRequest,
-): GroupRoom[] {
-	return rooms.toSorted((a, b) => {
+): OpenGroup[] {
+	return candidates.toSorted((a, b) => {
 		const homeFirst = Number(b.group === home) - Number(a.group === home);
 		return homeFirst === 0
 			? countFits(b.free, cpu) - countFits(a.free, cpu)
@@ -149,20 +149,23 @@
 */
 function setWaitingShares(
 	shares: Map<string, number>,
-	waits: ReadonlyArray<{room: GroupRoom; waitMs: number}>,
+	waits: ReadonlyArray<{candidate: OpenGroup; waitMs: number}>,
 	tasks: number,
 ): void {
 	const usable = waits.filter(
 		({waitMs}) => waitMs <= waits[0]!.waitMs * 1.5 + 1,
 	);
-	const capacity = usable.reduce((sum, {room}) => sum + room.capacity, 0);
+	const capacity = usable.reduce(
+		(sum, {candidate}) => sum + candidate.capacity,
+		0,
+	);
 	let unplaced = tasks;
-	for (const {room} of usable) {
+	for (const {candidate} of usable) {
 		const share = Math.min(
 			unplaced,
-			Math.ceil((tasks * room.capacity) / Math.max(1, capacity)),
+			Math.ceil((tasks * candidate.capacity) / Math.max(1, capacity)),
 		);
-		shares.set(room.group, (shares.get(room.group) ?? 0) + share);
+		shares.set(candidate.group, (shares.get(candidate.group) ?? 0) + share);
 		unplaced -= share;
 	}
 }
--- a/packages/scheduling/src/place-suspects.ts
+++ b/packages/scheduling/src/place-suspects.ts
@@ -10,7 +10,7 @@
 import {type GroupJob, type GroupTask} from './group-job.js';
 import {chooseExecutor, type ExecutorCandidate} from './place-task.js';
 import {compareJobs} from './rank-jobs.js';
-import {hasRoom} from './room.js';
+import {coversDemand} from './free-capacity.js';
 
 /** Largest share of all executors that run suspects or are kept free for one; at least one executor. */
 const maxSuspectShare = 0.25;
@@ -90,11 +90,11 @@
 	const isUrgent = now + urgentRunTimes * estimateMs >= deadlineAt;
 	return (
 		idleExecutor ??
-		(isUrgent ? findLeastBusy(job, executors, hasRoomForTask) : undefined)
+		(isUrgent ? findLeastBusy(job, executors, hasCapacityForTask) : undefined)
 	);
 
-	function hasRoomForTask({free}: C): boolean {
-		return hasRoom(free, demand);
+	function hasCapacityForTask({free}: C): boolean {
+		return coversDemand(free, demand);
 	}
 }
 
@@ -107,7 +107,7 @@
 		.filter(
 			(executor) =>
 				executor.service === service &&
-				hasRoom(executor.capacity, demand) &&
+				coversDemand(executor.capacity, demand) &&
 				isSuitable(executor),
 		)
 		.toSorted((a, b) => a.runCount - b.runCount || b.free.cpu - a.free.cpu)[0];
--- a/packages/scheduling/src/place-task.ts
+++ b/packages/scheduling/src/place-task.ts
@@ -12,7 +12,7 @@
 	slowFactor,
 	type ExecutorTrust,
 } from './executor-trust.js';
-import {hasRoom} from './room.js';
+import {coversDemand} from './free-capacity.js';
 
 export type ExecutorCandidate = {
 	id: string;
@@ -67,7 +67,7 @@
 	return (
 		service === task.service &&
 		now >= trust.pausedUntil &&
-		hasRoom(free, task.demand) &&
+		coversDemand(free, task.demand) &&
 		candidate.isLeaseExtendable !== false &&
 		!(isDoubted(trust) && runCount > 0)
 	);
--- a/packages/scheduling/src/place-waiting.ts
+++ b/packages/scheduling/src/place-waiting.ts
@@ -75,11 +75,11 @@
 /** Starts the job's tasks; returns false if there was no free capacity for one of them. */
 function startTasks<C extends ExecutorCandidate>(
 	job: GroupJob,
-	{now, candidates, hasRoomFor}: PlacingRound<C>,
+	{now, candidates, hasCapacityFor}: PlacingRound<C>,
 	{listStartable, isSound, start}: PlacingActions<C>,
 ): boolean {
 	const {service, demand, estimateMs, deadlineAt} = job;
-	if (!hasRoomFor(service, demand)) {
+	if (!hasCapacityFor(service, demand)) {
 		return false;
 	}
 
@@ -104,17 +104,17 @@
 /** Returns tasks that find no free capacity here while another group has some for them now. */
 function shiftTasks<C extends ExecutorCandidate>(
 	job: GroupJob,
-	{takeRoomElsewhere}: PlacingRound<C>,
+	{takeCapacityElsewhere}: PlacingRound<C>,
 	{listStartable, giveBack}: PlacingActions<C>,
 ): void {
 	const waiting = listWaiting(job).filter((task) => isShiftable(task));
-	const tasksWithRoom =
+	const shiftCount =
 		waiting.length === 0
 			? 0
-			: takeRoomElsewhere(job.demand.cpu, waiting.length);
-	if (tasksWithRoom > 0) {
+			: takeCapacityElsewhere(job.demand.cpu, waiting.length);
+	if (shiftCount > 0) {
 		const startable = listStartable(job).filter((task) => isShiftable(task));
-		giveBack(job, 'elsewhere', startable.slice(0, tasksWithRoom));
+		giveBack(job, 'elsewhere', startable.slice(0, shiftCount));
 	}
 }
 
--- a/packages/scheduling/src/placing-round.test.ts
+++ b/packages/scheduling/src/placing-round.test.ts
@@ -34,12 +34,12 @@
 	});
 	const round = createPlacingRound([candidate], 0, () => 0);
 	for (let i = 0; i < 100; i += 1) {
-		assert.equal(round.hasRoomFor('meals', makeDemand(14_000)), false);
+		assert.equal(round.hasCapacityFor('meals', makeDemand(14_000)), false);
 	}
 
 	assert.equal(searches, 1);
-	assert.equal(round.hasRoomFor('meals', makeDemand(8000)), true);
-	assert.equal(round.hasRoomFor('meals', makeDemand(20_000)), false);
+	assert.equal(round.hasCapacityFor('meals', makeDemand(8000)), true);
+	assert.equal(round.hasCapacityFor('meals', makeDemand(20_000)), false);
 	assert.equal(searches, 2);
 });
 
@@ -49,8 +49,8 @@
 		asked.push(cpu);
 		return cpu < 10_000 ? 1 : 0;
 	});
-	assert.equal(round.takeRoomElsewhere(14_000, 2), 0);
-	assert.equal(round.takeRoomElsewhere(14_000, 2), 0);
-	assert.equal(round.takeRoomElsewhere(8000, 2), 1);
+	assert.equal(round.takeCapacityElsewhere(14_000, 2), 0);
+	assert.equal(round.takeCapacityElsewhere(14_000, 2), 0);
+	assert.equal(round.takeCapacityElsewhere(8000, 2), 1);
 	assert.deepEqual(asked, [14_000, 8000]);
 });
--- a/packages/scheduling/src/placing-round.ts
+++ b/packages/scheduling/src/placing-round.ts
@@ -14,18 +14,18 @@
 	capacityCpu: number;
 	now: number;
 	/** Whether an executor that may take a task now has free capacity for this demand. */
-	hasRoomFor: (service: string, demand: TaskDemand) => boolean;
+	hasCapacityFor: (service: string, demand: TaskDemand) => boolean;
 	/**
 	Reserves free capacity in other groups, as far as it is known, for tasks of `cpu` thousandths of a core; returns
 	for how many of `tasks`.
 	*/
-	takeRoomElsewhere: (cpu: number, tasks: number) => number;
+	takeCapacityElsewhere: (cpu: number, tasks: number) => number;
 };
 
 export function createPlacingRound<C extends ExecutorCandidate>(
 	candidates: readonly C[],
 	now: number,
-	takeKnownRoom: (cpu: number, tasks: number) => number,
+	takeKnownCapacity: (cpu: number, tasks: number) => number,
 ): PlacingRound<C> {
 	/** The last demand of each service for which no free capacity was found. */
 	const lastRefused = new Map<string, TaskDemand>();
@@ -35,26 +35,26 @@
 		candidates,
 		capacityCpu: candidates.reduce((sum, {capacity}) => sum + capacity.cpu, 0),
 		now,
-		hasRoomFor(service, demand) {
+		hasCapacityFor(service, demand) {
 			const known = lastRefused.get(service);
 			if (known && isAtLeast(demand, known)) {
 				return false;
 			}
 
 			const task = {service, demand};
-			const hasRoom = candidates.some((one) => isAvailable(one, task, now));
-			if (!hasRoom) {
+			const hasCapacity = candidates.some((one) => isAvailable(one, task, now));
+			if (!hasCapacity) {
 				lastRefused.set(service, demand);
 			}
 
-			return hasRoom;
+			return hasCapacity;
 		},
-		takeRoomElsewhere(cpu, tasks) {
+		takeCapacityElsewhere(cpu, tasks) {
 			if (cpu >= refusedElsewhereCpu) {
 				return 0;
 			}
 
-			const taken = takeKnownRoom(cpu, tasks);
+			const taken = takeKnownCapacity(cpu, tasks);
 			if (taken === 0) {
 				refusedElsewhereCpu = cpu;
 			}
--- a/packages/scheduling/src/run-orders.ts
+++ b/packages/scheduling/src/run-calls.ts
@@ -13,9 +13,9 @@
 import {dropStopLimitMs} from './timing.js';
 
 /** Delay before a failed call is repeated. */
-export const orderRetryMs = 25;
+export const callRetryMs = 25;
 
-export type RunOrderPorts = {
+export type RunCallPorts = {
 	now: () => number;
 	wait: (ms: number, signal: AbortSignal) => Promise<void>;
 	control: ExecutorControl;
@@ -37,13 +37,13 @@
 	log: (message: string, fields: Record<string, unknown>) => void;
 };
 
-export type RunOrders = {
+export type RunCalls = {
 	start: (run: Run, spec: string) => void;
 	/** Stops the run; `stopBy`: when it has to be over, on this host's clock. */
 	stop: (run: Run, stopBy: number) => void;
 };
 
-export function createRunOrders(ports: RunOrderPorts): RunOrders {
+export function createRunCalls(ports: RunCallPorts): RunCalls {
 	const {now, wait, control, getToken, getExecutor, isCurrent, signal, log} =
 		ports;
 	const {answerTimes} = ports;
@@ -142,7 +142,7 @@
 			}
 
 			ports.onFailure(reply.error, 'stop');
-			await wait(orderRetryMs, signal);
+			await wait(callRetryMs, signal);
 		}
 	}
 
--- a/packages/scheduling/src/run-table.test.ts
+++ b/packages/scheduling/src/run-table.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import {test} from 'node:test';
 import {type LeaseReply} from './executor-control.js';
-import {noDemand} from './room.js';
+import {noDemand} from './free-capacity.js';
 import {createRunTable} from './run-table.js';
 import {type Run} from './run.js';
 
--- a/packages/scheduling/src/run-table.ts
+++ b/packages/scheduling/src/run-table.ts
@@ -12,7 +12,7 @@
 	type RunEnd,
 	type RunName,
 } from './executor-control.js';
-import {addDemand, noDemand, removeDemand} from './room.js';
+import {addDemand, noDemand, removeDemand} from './free-capacity.js';
 import {formatTaskKey, type Run, type RunOutcome} from './run.js';
 import {createUnclaimedEnds} from './unclaimed-ends.js';
 
@@ -98,7 +98,7 @@
 	/** Records that a run is listed as running. Returns the run if it was not known. */
 	function recordRunning(
 		{job, index, attempt}: RunName,
-		{now, assumedDemand: foundDemand}: ReportContext,
+		{now, assumedDemand}: ReportContext,
 	): Run | undefined {
 		const known = runs.get(formatTaskKey({job, index}));
 		if (known) {
@@ -110,7 +110,7 @@
 			job,
 			index,
 			attempt,
-			demand: foundDemand,
+			demand: assumedDemand,
 			state: 'running',
 			startedAt: now,
 			isUnclaimed: true,
@@ -129,8 +129,8 @@
 				return true;
 			}
 
-			for (const {isUnclaimed: isFound} of runs.values()) {
-				if (isFound) {
+			for (const {isUnclaimed} of runs.values()) {
+				if (isUnclaimed) {
 					return true;
 				}
 			}
