--- a/packages/scheduling/src/changing-capacity.test.ts
+++ b/packages/scheduling/src/changing-capacity.test.ts
@@ -212,7 +212,7 @@
 	assert.deepEqual(listOutcomes(entry), ['done', 'done', 'done']);
 });
 
-// The executor would stay idle because of a run whose demand no entry will ever tell.
+// The executor would stay idle because of a run whose demand no entry will ever send.
 test('an executor that does not enforce its capacity gets tasks again once an unclaimed run has been stopped', async () => {
 	const {clock, executors, entry, second} = await takeOver(false);
 	await runFor(clock, claimLimitMs + 2 * maxRenewWaitMs, [[second, entry]]);
--- a/packages/scheduling/src/entry-jobs.test.ts
+++ b/packages/scheduling/src/entry-jobs.test.ts
@@ -467,7 +467,7 @@
 	assert.equal(listParts('mieres_m1').length, 0);
 });
 
-// All of the job's tasks are in other groups. A scheduler that hears nothing from the entry would count it as dead and
+// All of the job's tasks are in other groups. A scheduler that receives nothing from the entry would count it as dead and
 // let an earlier copy start.
 test('an entry that replaced other copies answers the states of all groups', () => {
 	const {entry, groups, clock, sent} = createEntryJobs();
--- a/packages/scheduling/src/group-scheduler.ts
+++ b/packages/scheduling/src/group-scheduler.ts
@@ -102,7 +102,7 @@
 	isLeaving: () => boolean;
 	/** The host that is asked to take over the group; undefined: this host keeps it. */
 	getSuccessor: () => string | undefined;
-	/** Time since this host last heard from the store, milliseconds. */
+	/** Time since the store last answered this host, milliseconds. */
 	getStoreAgeMs: () => number;
 	log: (message: string, fields: Record<string, unknown>) => void;
 };
@@ -469,7 +469,7 @@
 		return job.movedAt !== undefined;
 	}
 
-	/** Tells an entry that its copy of the job was replaced, so that it stops waiting. */
+	/** Informs an entry that its copy of the job was replaced, so that it stops waiting. */
 	#sendReplaced(entry: Entry, job: string, takenAtMs: number): void {
 		entry.send({t: 'replaced', job, takenAtMs, isRefused: true});
 	}
--- a/packages/scheduling/src/lost-holders.ts
+++ b/packages/scheduling/src/lost-holders.ts
@@ -37,7 +37,7 @@
 	listPlaces: (arrivedAt: number) => CopyPlace[];
 	/**
 	Likewise in groups whose token, as another entry reports it, is later than the one known here: the holder known here can't
-	tell whether a copy runs.
+	say whether a copy runs.
 	*/
 	listSuperseded: (
 		tokens: ReadonlyArray<[group: string, token: number]>,
--- a/packages/scheduling/src/measure-load.ts
+++ b/packages/scheduling/src/measure-load.ts
@@ -1,5 +1,5 @@
 /**
-Measures the work that waits and runs at a scheduler, and tells whether another job would end too late there.
+Measures the work that waits and runs at a scheduler, and decides whether another job would end too late there.
 */
 import {type GroupState} from '@gentianshift/protocol';
 import {type GroupJob} from './group-job.js';
--- a/packages/scheduling/src/takeover.test.ts
+++ b/packages/scheduling/src/takeover.test.ts
@@ -257,7 +257,7 @@
 });
 
 // Guards against a host that is down delaying a group that has changed hands.
-test('a task from an earlier holder waits at most `entryWordLimitMs` for hosts that do not answer', async () => {
+test('a task from an earlier holder waits at most `entryAnswerLimitMs` for hosts that do not answer', async () => {
 	const {clock, executors, scheduler, entry} = await openScheduler({count: 1});
 	scheduler.close();
 	const second = createScheduler(clock, executors, 2, {
