--- a/packages/host/src/scheduling/faulty/faulty-host.fixture.ts
+++ b/packages/host/src/scheduling/faulty/faulty-host.fixture.ts
@@ -31,7 +31,7 @@
 	executors: ExecutorSource;
 	control: ExecutorControl;
 	/** Executors refuse starts that exceed their capacity. */
-	isGuarded: boolean;
+	isCapacityEnforced: boolean;
 	/** Keys of the data centre's hosts, in the order in which they may take over the group. */
 	listTakeoverOrder: () => readonly string[];
 	peers: Omit<Peers, 'listCandidates' | 'getCores'>;
@@ -260,7 +260,7 @@
 					waitWhileFrozen(this.environment.executors.list(options)),
 			},
 			isKnownService: () => true,
-			isCapacityEnforcingService: () => this.environment.isGuarded,
+			isCapacityEnforcingService: () => this.environment.isCapacityEnforced,
 			isHolder: () => roles.holding.scheduler !== undefined,
 			onList(list) {
 				roles.holding.setExecutors(list);
--- a/packages/host/src/scheduling/faulty/run-plan.fixture.ts
+++ b/packages/host/src/scheduling/faulty/run-plan.fixture.ts
@@ -88,7 +88,7 @@
 
 	constructor(
 		private readonly options: {
-			isGuarded: boolean;
+			isCapacityEnforced: boolean;
 			stopDelayMs: number;
 			restartDelayMs: number;
 		},
@@ -213,7 +213,7 @@
 			decideOutcome: (call) => this.#decideFate(call),
 			pollIntervalMs,
 			stopMs: this.options.stopDelayMs,
-			isCapacityEnforced: this.options.isGuarded,
+			isCapacityEnforced: this.options.isCapacityEnforced,
 			getDemand: (job) => this.#makeDemand(job),
 			findCrashMs: ({job, index}) =>
 				index === 0 ? this.#crashAfterMsByJob.get(job) : undefined,
@@ -270,7 +270,7 @@
 			clock: this.clock,
 			...client,
 			control: this.#executors.control satisfies ExecutorControl,
-			isGuarded: this.options.isGuarded,
+			isCapacityEnforced: this.options.isCapacityEnforced,
 			listTakeoverOrder: () =>
 				this.#hosts
 					.filter(
@@ -383,7 +383,7 @@
 		restartDelayMs = defaultRestartDelayMs,
 	} = plan;
 	return new Simulation(
-		{isGuarded: !isUnguarded, stopDelayMs, restartDelayMs},
+		{isCapacityEnforced: !isUnguarded, stopDelayMs, restartDelayMs},
 		log,
 	).run(plan);
 }
