--- a/packages/scheduling/src/changing-capacity.test.ts
+++ b/packages/scheduling/src/changing-capacity.test.ts
@@ -162,14 +162,14 @@
 The first holder starts a large task and closes. The second one receives the part of another job before that of the
 large task.
 */
-async function takeOver(isGuarded: boolean) {
+async function takeOver(isCapacityEnforced: boolean) {
 	const starts: string[] = [];
 	const clock = new VirtualClock();
 	const executors = createFakeExecutors(clock, {
 		count: 1,
 		taskMs: 600,
 		getDemand: (job) => (job === 'large' ? large : demand),
-		isCapacityEnforced: isGuarded,
+		isCapacityEnforced,
 		decideOutcome({kind, token}) {
 			if (kind === 'start' && token === 2) {
 				starts.push(`${clock.now}`);
@@ -212,7 +212,7 @@
 	assert.deepEqual(listOutcomes(entry), ['done', 'done', 'done']);
 });
 
-// The executor would stay idle because of a run whose demand no entry will ever tell.
+// The executor would stay idle because of a run whose demand no entry will ever send.
 test('an executor that does not enforce its capacity gets tasks again once an unclaimed run has been stopped', async () => {
 	const {clock, executors, entry, second} = await takeOver(false);
 	await runFor(clock, claimLimitMs + 2 * maxRenewWaitMs, [[second, entry]]);
--- a/packages/scheduling/src/group-scheduler.ts
+++ b/packages/scheduling/src/group-scheduler.ts
@@ -3,7 +3,7 @@
 of its executors, and is the only one that calls these executors while it holds the group.
 
 Entries hand over parts of jobs, each under a claim that the entry has to renew. A task is started when an
-executor has room, and its end is sent to its entry at once. When a job's claim has ended, or its entry drops
+executor has free capacity, and its end is sent to its entry at once. When a job's claim has ended, or its entry drops
 it, its runs are stopped. Tasks that can't be served in time are returned at once, so that their entry can place
 them elsewhere or refuse the job.
 */
@@ -45,7 +45,7 @@
 import {placeWaiting} from './place-waiting.js';
 import {isTooLate, measureLoad} from './measure-load.js';
 import {createPlacingRound} from './placing-round.js';
-import {countFits, hasRoom, noDemand} from './room.js';
+import {countFits, coversDemand, noDemand} from './free-capacity.js';
 import {type Run, type RunOutcome} from './run.js';
 import {type RunTimes} from './run-times.js';
 import {createStartLog, type StartLog} from './start-log.js';
@@ -85,10 +85,10 @@
 	/** The free capacity or the backlog has changed. */
 	onChange: () => void;
 	/**
-	Takes room for tasks of `cpu` thousandths of a core from what this host knows to be free in other groups;
+	Reserves free capacity in other groups, as far as this host knows it, for tasks of `cpu` thousandths of a core;
 	returns for how many of `tasks`.
 	*/
-	takeRoomElsewhere: (cpu: number, tasks: number) => number;
+	takeCapacityElsewhere: (cpu: number, tasks: number) => number;
 	/**
 	Whether the list of the group's executors is complete: none is missing because its registration had expired
 	for a while.
@@ -102,7 +102,7 @@
 	isLeaving: () => boolean;
 	/** The host that is asked to take over the group; undefined: this host keeps it. */
 	getSuccessor: () => string | undefined;
-	/** Time since this host last heard from the store, milliseconds. */
+	/** Time since the store last answered this host, milliseconds. */
 	getStoreAgeMs: () => number;
 	log: (message: string, fields: Record<string, unknown>) => void;
 };
@@ -245,7 +245,11 @@
 			this.#claimTask(job, task);
 		}
 
-		if (!job.isStarted && !part.isMoved && this.#hasNoRoomInTime(job, part)) {
+		if (
+			!job.isStarted &&
+			!part.isMoved &&
+			this.#hasNoCapacityInTime(job, part)
+		) {
 			this.#giveBack(job, 'full');
 		}
 
@@ -282,11 +286,11 @@
 		}
 
 		const job = this.#jobs.get(id);
-		const isMeant =
+		const isMatch =
 			job?.entry.key === entry.key &&
 			job.takenAtMs <= takenAtMs &&
 			job.claim <= (claim ?? Infinity);
-		if (isMeant) {
+		if (isMatch) {
 			this.#dropAndStop(job, this.ports.now() + dropStopLimitMs);
 			this.#runPlacingRound();
 		}
@@ -359,7 +363,8 @@
 			isReleased: this.#isClosed,
 			storeAgeMs: this.ports.getStoreAgeMs(),
 			free: open.map((session) =>
-				hasRoom(session.free, noDemand) && !this.#crashes.hasSuspectRun(session)
+				coversDemand(session.free, noDemand) &&
+				!this.#crashes.hasSuspectRun(session)
 					? session.free.cpu
 					: 0,
 			),
@@ -464,7 +469,7 @@
 		return job.movedAt !== undefined;
 	}
 
-	/** Tells an entry that its copy of the job was replaced, so that it stops waiting. */
+	/** Informs an entry that its copy of the job was replaced, so that it stops waiting. */
 	#sendReplaced(entry: Entry, job: string, takenAtMs: number): void {
 		entry.send({t: 'replaced', job, takenAtMs, isRefused: true});
 	}
@@ -473,7 +478,7 @@
 	Whether a job that has to wait would end too late. Entries judge by a state message that is some time old;
 	when many jobs arrive at once, each entry would use the same free capacity, and all these jobs would be late.
 	*/
-	#hasNoRoomInTime(job: GroupJob, {admitInMs, tasks}: Part): boolean {
+	#hasNoCapacityInTime(job: GroupJob, {admitInMs, tasks}: Part): boolean {
 		const state = this.describeState();
 		const fits = countFits(state.free, job.demand.cpu);
 		const limits = {
@@ -587,7 +592,7 @@
 		const open = this.#placeSuspects(waiting, now);
 		placeWaiting(
 			waiting,
-			createPlacingRound(open, now, this.ports.takeRoomElsewhere),
+			createPlacingRound(open, now, this.ports.takeCapacityElsewhere),
 			{
 				listStartable: (job) => this.#listStartable(job),
 				isSound: ({id}, {index}) =>
@@ -827,7 +832,7 @@
 	}
 
 	/**
-	Detects a pause of this host. Messages that arrived meanwhile have yet to be read, and entries have yet to
+	Detects a pause of this host. Messages that arrived during it have yet to be read, and entries have yet to
 	answer a state message sent after the pause. Until they do, none of the tasks that they handed over before
 	is started, and no lease of their runs is renewed.
 	*/
--- a/packages/scheduling/src/overdue-runs.ts
+++ b/packages/scheduling/src/overdue-runs.ts
@@ -1,8 +1,8 @@
 /**
 Stops runs that take too long, if their tasks can be started on another executor at once.
 
-Executors on which tasks hang, or that have become slow, make this necessary. Whether other executors have room
-changes all the time, so each check decides again whether a task can be moved; the executor's trust is lowered
+Executors on which tasks hang, or that have become slow, make this necessary. Whether other executors have
+free capacity changes all the time, so each check decides again whether a task can be moved; the executor's trust is lowered
 once per run. A run goes on if no time is left for another one: if it were stopped, its job would certainly be
 given up.
 */
@@ -10,7 +10,7 @@
 import {isDoubted, recordOverdue} from './executor-trust.js';
 import {isPastLatestStart, type GroupJob, type GroupTask} from './group-job.js';
 import {listOverdue, maxMoves} from './judge-run.js';
-import {hasRoom} from './room.js';
+import {coversDemand} from './free-capacity.js';
 import {formatTaskKey} from './run.js';
 import {dropStopLimitMs, stopLimitMs} from './timing.js';
 
@@ -53,7 +53,7 @@
 
 	const isMoved =
 		!isPastLatestStart(job, now + stopLimitMs) &&
-		hasRoomElsewhere(job, task, sessions);
+		hasCapacityElsewhere(job, task, sessions);
 	if (isNewlyOverdue || isMoved) {
 		log('run is overdue', {
 			job: job.id,
@@ -72,10 +72,10 @@
 }
 
 /**
-Whether another executor has room for the task now: one that is not doubted, and on which no earlier run of the
+Whether another executor has free capacity for the task now: one that is not doubted, and on which no earlier run of the
 task was unsuccessful.
 */
-function hasRoomElsewhere(
+function hasCapacityElsewhere(
 	{service, demand}: GroupJob,
 	{executor, avoid, moves}: GroupTask,
 	sessions: Sessions,
@@ -89,7 +89,7 @@
 				!avoid.has(other.id) &&
 				!isDoubted(other.trust) &&
 				other.service === service &&
-				hasRoom(other.free, demand),
+				coversDemand(other.free, demand),
 		)
 	);
 }
--- a/packages/scheduling/src/run-orders.ts
+++ b/packages/scheduling/src/run-calls.ts
@@ -1,8 +1,8 @@
 /**
 Sends starts and stops to one executor.
 
-An order or its answer may be lost, and the executor may still carry the order out seconds later. If the task
-has been placed again meanwhile, two runs of it overlap. So an order without an answer is not taken to have
+A call or its answer may be lost, and the executor may still carry the call out seconds later. If the task
+has been placed again meanwhile, two runs of it overlap. So a call without an answer is not taken to have
 failed: a stop of the same attempt is sent until it is answered, which also makes a late start ineffective.
 */
 import {type Result} from 'neverthrow';
@@ -13,9 +13,9 @@
 import {dropStopLimitMs} from './timing.js';
 
 /** Delay before a failed call is repeated. */
-export const orderRetryMs = 25;
+export const callRetryMs = 25;
 
-export type RunOrderPorts = {
+export type RunCallPorts = {
 	now: () => number;
 	wait: (ms: number, signal: AbortSignal) => Promise<void>;
 	control: ExecutorControl;
@@ -26,7 +26,7 @@
 	extendLease: () => number | undefined;
 	/** Whether the run is not over yet. */
 	isCurrent: (run: Run) => boolean;
-	/** Once aborted, no further order is sent. */
+	/** Once aborted, no further call is made. */
 	signal: AbortSignal;
 	onClockReading: (clockMs: number) => void;
 	onFailure: (failure: CallFailure, call: 'start' | 'stop') => void;
@@ -37,13 +37,13 @@
 	log: (message: string, fields: Record<string, unknown>) => void;
 };
 
-export type RunOrders = {
+export type RunCalls = {
 	start: (run: Run, spec: string) => void;
 	/** Stops the run; `stopBy`: when it has to be over, on this host's clock. */
 	stop: (run: Run, stopBy: number) => void;
 };
 
-export function createRunOrders(ports: RunOrderPorts): RunOrders {
+export function createRunCalls(ports: RunCallPorts): RunCalls {
 	const {now, wait, control, getToken, getExecutor, isCurrent, signal, log} =
 		ports;
 	const {answerTimes} = ports;
@@ -142,7 +142,7 @@
 			}
 
 			ports.onFailure(reply.error, 'stop');
-			await wait(orderRetryMs, signal);
+			await wait(callRetryMs, signal);
 		}
 	}
 
